--- a/internal/local/attempt.go
+++ b/internal/local/attempt.go
@@ -18,50 +18,51 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// attempt is one attempt from its arrival to its answer. It runs by itself, so
-// that a sender whose connection was lost can come back and wait for it.
+// attempt is one attempt from its arrival to its answer. It runs in its own goroutine,
+// so that a sender that lost its connection can reconnect and wait for the answer.
 type attempt struct {
-	server  *Server
-	request *relaypb.CarryRequest
-	kind    *schema.Kind
-	serving *call.Serving
-	handle  string
-	key     once.Key
-	keyed   bool
-	admit   chan admit.Release
-	done    chan struct{}
-	answer  *relaypb.CarryResponse
-	// waited and ran are the parts of its time, for the log.
-	waited time.Duration
-	ran    time.Duration
+	server       *Server
+	request      *relaypb.CarryRequest
+	kind         *schema.Kind
+	serving      *call.Serving
+	handle       string
+	key          once.Key
+	keyed        bool
+	gateDecision chan admit.Release
+	done         chan struct{}
+	answer       *relaypb.CarryResponse
+	// queueTime is the time spent waiting for a slot and targetTime the time spent in
+	// the target, for logging.
+	queueTime  time.Duration
+	targetTime time.Duration
 
-	mu      sync.Mutex
-	waiters int
-	idle    *time.Timer
-	cancel  context.CancelFunc
+	mu           sync.Mutex
+	waiters      int
+	abandonTimer *time.Timer
+	cancel       context.CancelFunc
 }
 
-// join counts one more party that waits for the answer.
-func (a *attempt) join() {
+// addWaiter registers a goroutine that waits for the answer.
+func (a *attempt) addWaiter() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.waiters++
-	if a.idle != nil {
-		a.idle.Stop()
+	if a.abandonTimer != nil {
+		a.abandonTimer.Stop()
 	}
 }
 
-// part counts one party less. A call that may be repeated is cancelled when
-// nobody has waited for it for a while; one that may not goes on to its end,
-// because its record is what a repeated key will ask for.
-func (a *attempt) part() {
+// removeWaiter undoes addWaiter. A call that is safe to retry is cancelled once it has
+// had no waiter for abandonAfter. A call that is not safe to retry runs to its end,
+// because a request that repeats its key is answered from its record.
+func (a *attempt) removeWaiter() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.waiters--
 	if a.waiters > 0 || a.kind == nil || a.kind.Repeat == schema.Never || a.ended() {
 		return
 	}
-	a.idle = time.AfterFunc(abandonAfter, func() {
+	a.abandonTimer = time.AfterFunc(abandonAfter, func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		if a.waiters == 0 && a.cancel != nil {
@@ -70,7 +71,7 @@
 	})
 }
 
-// ended says whether the answer is there.
+// ended reports whether the attempt has its answer.
 func (a *attempt) ended() bool {
 	select {
 	case <-a.done:
@@ -87,40 +88,40 @@
 	a.mu.Lock()
 	a.cancel = cancel
 	a.mu.Unlock()
-	a.end(a.perform(ctx))
+	a.finish(a.execute(ctx))
 }
 
-// perform takes the attempt through the record of its key, the gate and the
-// target, in that order.
-func (a *attempt) perform(ctx context.Context) *relaypb.CarryResponse {
+// execute claims the attempt's key, acquires a slot from the gate and calls the target,
+// in this order. A call with a key that the target did not run is forwarded.
+func (a *attempt) execute(ctx context.Context) *relaypb.CarryResponse {
 	if a.kind == nil {
 		return a.refusal(result.UnknownKind)
 	}
 	if a.request.Key != "" && a.kind.Repeat == schema.Never {
-		if answer := a.claim(ctx); answer != nil {
+		if answer := a.claimKey(ctx); answer != nil {
 			return answer
 		}
 	}
-	if !a.mayRepeat() {
+	if !a.retryAllowed() {
 		return a.refusal(result.BudgetSpent)
 	}
 	began := a.server.settings.Clock.Now()
-	code := a.admission(ctx)
+	code := a.acquireSlot(ctx)
 	admitted := a.server.settings.Clock.Now()
-	a.waited = admitted.Sub(began)
-	a.server.settings.Metrics.QueueSeconds.WithLabelValues(a.kind.Name).Observe(a.waited.Seconds())
+	a.queueTime = admitted.Sub(began)
+	a.server.settings.Metrics.QueueSeconds.WithLabelValues(a.kind.Name).Observe(a.queueTime.Seconds())
 	if code != result.OK {
-		return a.onward(ctx, a.refusal(code))
+		return a.forward(ctx, a.refusal(code))
 	}
-	answer := a.serve(ctx)
-	a.ran = a.server.settings.Clock.Now().Sub(admitted)
-	a.server.settings.Metrics.TargetSeconds.WithLabelValues(a.kind.Name).Observe(a.ran.Seconds())
-	return a.onward(ctx, answer)
+	answer := a.callTarget(ctx)
+	a.targetTime = a.server.settings.Clock.Now().Sub(admitted)
+	a.server.settings.Metrics.TargetSeconds.WithLabelValues(a.kind.Name).Observe(a.targetTime.Seconds())
+	return a.forward(ctx, answer)
 }
 
-// claim asks the ledger whether the key may run here. It returns nil when the
-// attempt is the one that runs it.
-func (a *attempt) claim(ctx context.Context) *relaypb.CarryResponse {
+// claimKey asks the ledger whether the key may run here. It returns nil if this attempt
+// is the one to run it, and the answer to the attempt otherwise.
+func (a *attempt) claimKey(ctx context.Context) *relaypb.CarryResponse {
 	key, err := once.ParseKey(a.request.Key)
 	if err != nil {
 		return a.refusal(result.KeyInvalid)
@@ -133,7 +134,7 @@
 		a.keyed = true
 		s.byKey[key.Text] = a
 	}
-	first := s.byKey[key.Text]
+	running := s.byKey[key.Text]
 	s.mu.Unlock()
 	switch verdict {
 	case once.Run:
@@ -141,19 +142,20 @@
 	case once.Done:
 		return a.replay(recorded)
 	case once.Running:
-		return a.follow(ctx, first)
+		return a.awaitRunning(ctx, running)
 	}
 	return a.refusal(code)
 }
 
-// follow waits for another attempt that runs the same key.
-func (a *attempt) follow(ctx context.Context, first *attempt) *relaypb.CarryResponse {
-	if first == nil {
+// awaitRunning waits for the attempt that already runs the same key and returns its
+// answer as a replay.
+func (a *attempt) awaitRunning(ctx context.Context, running *attempt) *relaypb.CarryResponse {
+	if running == nil {
 		return a.refusal(result.RunningStill)
 	}
 	select {
-	case <-first.done:
-		return a.replay(first.answer)
+	case <-running.done:
+		return a.replay(running.answer)
 	case <-ctx.Done():
 		return a.refusal(result.RunningStill)
 	}
@@ -180,9 +182,9 @@
 	}
 }
 
-// admission asks the gate for a slot and waits in its queue. It returns OK
-// when the call has one.
-func (a *attempt) admission(ctx context.Context) result.Code {
+// acquireSlot asks the gate for a slot, and waits in its queue if necessary. It returns
+// OK once the call holds a slot.
+func (a *attempt) acquireSlot(ctx context.Context) result.Code {
 	s := a.server
 	id := a.request.AttemptId
 	s.mu.Lock()
@@ -201,7 +203,7 @@
 	})
 	if decision.Verdict == admit.Queued {
 		s.waiting[id] = a
-		s.hasten()
+		s.wake()
 	}
 	s.release(decision.Released)
 	s.mu.Unlock()
@@ -211,35 +213,36 @@
 	case admit.Refused:
 		return decision.Code
 	}
-	return a.queued(ctx)
+	return a.awaitSlot(ctx)
 }
 
-// position returns the call's place in the order of refusal within its importance.
-// Calls that targets make do not name their request where targets announce
-// themselves, so that each would draw a place of its own, and a request that needs
-// several of them would fail by the worst. There they wait by arrival, behind the
-// requests of callers. The lock is held.
+// position returns the call's place in the shedding order within its importance. Where
+// targets announce themselves, the calls that they make do not name the request that
+// they belong to. Each would draw a place of its own, and a request that needs several
+// such calls would fail by the worst place drawn. These calls therefore all get place 0:
+// they are queued in order of arrival, behind the requests of callers. The server's mutex
+// must be held.
 func (a *attempt) position() uint16 {
-	if a.server.settings.Admits != nil && a.server.origins.inner(a.request.Kind) {
+	if a.server.settings.Admits != nil && a.server.origins.isInternal(a.request.Kind) {
 		return 0
 	}
 	return a.serving.Position
 }
 
-func (a *attempt) queued(ctx context.Context) result.Code {
+func (a *attempt) awaitSlot(ctx context.Context) result.Code {
 	select {
-	case release := <-a.admit:
-		return admission(release)
+	case release := <-a.gateDecision:
+		return releaseCode(release)
 	case <-ctx.Done():
 	}
 	s := a.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, waits := s.waiting[a.request.AttemptId]
-	if !waits {
-		// The gate decided at the same moment; its decision stands, since it
-		// may have given the call a slot that has to be returned.
-		return admission(<-a.admit)
+	_, queued := s.waiting[a.request.AttemptId]
+	if !queued {
+		// The gate decided concurrently. Its decision stands, because it may have
+		// given the call a slot that must be released.
+		return releaseCode(<-a.gateDecision)
 	}
 	delete(s.waiting, a.request.AttemptId)
 	s.release(s.settings.Gate.Cancel(s.settings.Clock.Now(), a.request.AttemptId))
@@ -249,20 +252,21 @@
 	return result.Cancelled
 }
 
-func admission(release admit.Release) result.Code {
+func releaseCode(release admit.Release) result.Code {
 	if release.Verdict == admit.Admitted {
 		return result.OK
 	}
 	return release.Code
 }
 
-// serve calls the target in the slot that the attempt holds, unless the process
-// that it is meant for stopped taking work while the attempt was queued.
-func (a *attempt) serve(ctx context.Context) *relaypb.CarryResponse {
+// callTarget calls the target in the slot that the attempt holds, and releases the slot.
+// It rejects the attempt if the addressed process stopped accepting work while the
+// attempt was queued, or if the retry budget is spent.
+func (a *attempt) callTarget(ctx context.Context) *relaypb.CarryResponse {
 	s := a.server
 	_, targetID := relay.SplitIncarnation(a.request.Incarnation)
 	code := s.admits(targetID)
-	if code == result.OK && !a.takeRepeat() {
+	if code == result.OK && !a.takeRetry() {
 		code = result.BudgetSpent
 	}
 	if code != result.OK {
@@ -282,15 +286,15 @@
 	facts.ShedStatus = s.settings.ShedStatus()
 	facts.ChildrenRan = a.serving.ChildrenRan()
 	code = fate.Classify(facts)
-	below := blameless(code) && a.serving.ChildrenFailed()
+	downstream := maybeDownstream(code) && a.serving.ChildrenFailed()
 	s.mu.Lock()
-	s.release(s.settings.Gate.Done(s.settings.Clock.Now(), a.request.AttemptId, outcome(code, below)))
+	s.release(s.settings.Gate.Done(s.settings.Clock.Now(), a.request.AttemptId, outcome(code, downstream)))
 	s.mu.Unlock()
 	answer := &relaypb.CarryResponse{
 		Code:       uint32(code),
 		Detail:     reply.Detail,
 		TokensLeft: uint32(a.serving.Tokens.Left()),
-		Below:      below,
+		Below:      downstream,
 	}
 	if reply.Facts.BodyWhole {
 		answer.Status = uint32(reply.Status)
@@ -301,9 +305,9 @@
 	return answer
 }
 
-// blameless says whether an answer may be due to the calls that the target made
-// rather than to the target.
-func blameless(code result.Code) bool {
+// maybeDownstream reports whether an answer with this code may be caused by the calls
+// that the target made rather than by the target itself.
+func maybeDownstream(code result.Code) bool {
 	switch code {
 	case result.TargetShed, result.PartlyRun, result.TargetFailed, result.TimedOut:
 		return true
@@ -311,23 +315,23 @@
 	return false
 }
 
-// end records the answer and wakes everyone who waits for it.
-func (a *attempt) end(answer *relaypb.CarryResponse) {
+// finish records the answer and wakes all waiters.
+func (a *attempt) finish(answer *relaypb.CarryResponse) {
 	s := a.server
-	answer = s.dress(a.request, answer)
+	answer = s.addNodeState(a.request, answer)
 	code := result.Code(answer.Code)
 	if code.Family() == result.NotRun {
 		s.settings.Metrics.Refusals.WithLabelValues(s.settings.Service, code.String()).Inc()
 	}
 	now := s.settings.Clock.Now()
 	if code.Family() != result.Complete {
-		a.noteFailure(now, code, answer)
+		a.logFailure(now, code, answer)
 	}
 	size := len(answer.Body)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a.keyed {
-		a.record(now, code, answer, size)
+		a.recordKey(now, code, answer, size)
 		delete(s.byKey, a.key.Text)
 	}
 	s.settings.Book.End(now, a.request.AttemptId, answer, size)
@@ -336,8 +340,9 @@
 	close(a.done)
 }
 
-// noteFailure logs an attempt that did not end well, with what decided it here.
-func (a *attempt) noteFailure(now time.Time, code result.Code, answer *relaypb.CarryResponse) {
+// logFailure logs an attempt that was not completed, with the state that led to its
+// result on this node.
+func (a *attempt) logFailure(now time.Time, code result.Code, answer *relaypb.CarryResponse) {
 	s := a.server
 	if s.settings.Failures == nil {
 		return
@@ -355,8 +360,8 @@
 		"target", targetID,
 		"result", code.String(),
 		"status", answer.Status,
-		"waited_ms", a.waited.Milliseconds(),
-		"ran_ms", a.ran.Milliseconds(),
+		"waited_ms", a.queueTime.Milliseconds(),
+		"ran_ms", a.targetTime.Milliseconds(),
 		"in_flight", answer.GetLoad().GetInFlight(),
 		"limit", answer.GetLoad().GetLimit(),
 		"queued", answer.GetLoad().GetQueued(),
@@ -365,15 +370,16 @@
 	)
 }
 
-// record tells the ledger how the run of the key ended. The lock is held.
-func (a *attempt) record(now time.Time, code result.Code, answer *relaypb.CarryResponse, size int) {
+// recordKey records in the ledger how the run of the key ended. The server's mutex must
+// be held.
+func (a *attempt) recordKey(now time.Time, code result.Code, answer *relaypb.CarryResponse, size int) {
 	ledger := a.server.settings.Ledger
 	switch {
 	case code.Family() == result.NotRun:
 		ledger.Abandon(now, a.key)
 	case code == result.PartlyRun && a.serving.OnlySafeRan():
-		// The target refused the call itself, and what ran for it may run
-		// again: the same key may be tried once more.
+		// The target shed the call itself, and the calls that ran on its behalf
+		// are all safe to retry. The key may therefore be tried again.
 		ledger.Abandon(now, a.key)
 	case code == result.OK:
 		ledger.Finish(now, a.key, answer, size)
@@ -389,7 +395,8 @@
 	}
 }
 
-// requestHash tells requests apart that use the same key by mistake.
+// requestHash returns a hash by which the ledger detects different requests with the
+// same key.
 func (a *attempt) requestHash() uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{a.request.Kind, a.request.Method, a.request.Path} {
@@ -400,10 +407,10 @@
 	return digest.Sum64()
 }
 
-// outcome tells the gate what an answer says about the target's load: nothing,
-// when it is due to a call that the target made.
-func outcome(code result.Code, below bool) admit.Outcome {
-	if below {
+// outcome maps a result to what it tells the gate about the target's load. A failure
+// caused by a call that the target made says nothing about that load.
+func outcome(code result.Code, downstream bool) admit.Outcome {
+	if downstream {
 		return admit.Abandoned
 	}
 	switch code {
--- a/internal/local/garble_test.go
+++ b/internal/local/garble_test.go
@@ -30,22 +30,22 @@
 	endlessBytes = 64 << 20
 )
 
-// scripted is a target that speaks by a script of its own on each connection.
-type scripted struct {
+// scriptedTarget is a target that runs a script on each connection.
+type scriptedTarget struct {
 	listener net.Listener
 	mu       sync.Mutex
-	// opened counts connections, ran the requests by id that were really run.
+	// opened counts the connections, and ran the executions of each request by its id.
 	opened int
 	ran    map[string]int
 }
 
-func newScripted(t *testing.T, script func(s *scripted, conn net.Conn, reader *bufio.Reader)) *scripted {
+func newScriptedTarget(t *testing.T, script func(s *scriptedTarget, conn net.Conn, reader *bufio.Reader)) *scriptedTarget {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{listener: listener, ran: map[string]int{}}
+	s := &scriptedTarget{listener: listener, ran: map[string]int{}}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -65,13 +65,13 @@
 	return s
 }
 
-func (s *scripted) run(id string) {
+func (s *scriptedTarget) recordRun(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ran[id]++
 }
 
-func (s *scripted) connections() int {
+func (s *scriptedTarget) connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.opened
@@ -95,8 +95,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\nContent-Length: %d\r\n\r\n%s", idHeader, id, sealHeader, len(wholeBody), wholeBody)
 }
 
-// marked is how the targets of these tests speak of a call.
-func marked() Wire {
+// testWire returns the protocol that the targets of these tests use.
+func testWire() Wire {
 	return Wire{
 		IDHeader: idHeader,
 		Dress: func(about About) http1.Fields {
@@ -116,13 +116,13 @@
 	}
 }
 
-func (s *scripted) door() *Target {
+func (s *scriptedTarget) client() *Target {
 	target := NewTarget(s.listener.Addr().String(), 10, NewHeld(func() int64 { return 8 << 20 }))
-	target.Wire = marked()
+	target.Wire = testWire()
 	return target
 }
 
-func ask(target *Target, id string) *Reply {
+func sendRequest(target *Target, id string) *Reply {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	limits := schema.DefaultLimits()
@@ -130,12 +130,12 @@
 	return target.Call(ctx, "", &relaypb.CarryRequest{Method: http.MethodGet, Path: "/rope", Host: "h", RequestId: id}, limits)
 }
 
-func outcomeOf(reply *Reply) result.Code {
+func classify(reply *Reply) result.Code {
 	return fate.Classify(reply.Facts)
 }
 
-// A target that stops anywhere in its answer and closes has not answered: a caller
-// would take an empty or short body for the whole.
+// An answer is not complete if the target closes the connection anywhere in it. Otherwise
+// a caller would mistake an empty or short body for the complete one.
 func TestAnswerCutAnywhereIsNotWhole(t *testing.T) {
 	for name, answer := range map[string]string{
 		"with a length": success("a"),
@@ -145,39 +145,40 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for cut := range len(answer) {
-				s := newScripted(t, func(_ *scripted, conn net.Conn, reader *bufio.Reader) {
+				s := newScriptedTarget(t, func(_ *scriptedTarget, conn net.Conn, reader *bufio.Reader) {
 					if _, ok := nextID(reader); ok {
 						_, _ = io.WriteString(conn, answer[:cut])
 					}
 				})
-				if reply := ask(s.door(), "a"); reply.Facts.BodyWhole || outcomeOf(reply).Family() != result.Unknown {
-					t.Errorf("cut after %d bytes, %q: %s", cut, answer[max(0, cut-20):cut], outcomeOf(reply))
+				if reply := sendRequest(s.client(), "a"); reply.Facts.BodyWhole || classify(reply).Family() != result.Unknown {
+					t.Errorf("cut after %d bytes, %q: %s", cut, answer[max(0, cut-20):cut], classify(reply))
 				}
 			}
 		})
 	}
 }
 
-// A head without a length that is cut off names no body at all.
+// A head without a length that is cut off has no body.
 func TestHeadCutBeforeItsEndHasNoBody(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\n" + idHeader + ": a\r\n" + sealHeader + ": s\r\nConnection: close\r\n"
 	for cut := range len(head) {
-		s := newScripted(t, func(_ *scripted, conn net.Conn, reader *bufio.Reader) {
+		s := newScriptedTarget(t, func(_ *scriptedTarget, conn net.Conn, reader *bufio.Reader) {
 			if _, ok := nextID(reader); ok {
 				_, _ = io.WriteString(conn, head[:cut])
 			}
 		})
-		if reply := ask(s.door(), "a"); outcomeOf(reply) != result.Lost {
-			t.Errorf("cut after %d bytes: %s", cut, outcomeOf(reply))
+		if reply := sendRequest(s.client(), "a"); classify(reply) != result.Lost {
+			t.Errorf("cut after %d bytes: %s", cut, classify(reply))
 		}
 	}
 }
 
-// A faulty target writes an earlier refusal once more. The request that it spoke of
-// comes again and runs: "not run" would be untrue of it.
+// A faulty target sends an earlier rejection a second time. The rejected request is
+// retried and runs, so the second rejection must not be taken for the answer to the retry:
+// "not run" would be false.
 func TestRefusalWrittenAgainIsNotTakenForTheRepeat(t *testing.T) {
 	is := is.New(t)
-	s := newScripted(t, func(s *scripted, conn net.Conn, reader *bufio.Reader) {
+	s := newScriptedTarget(t, func(s *scriptedTarget, conn net.Conn, reader *bufio.Reader) {
 		refused := ""
 		for {
 			id, ok := nextID(reader)
@@ -188,7 +189,7 @@
 				refused = id
 				_, _ = io.WriteString(conn, refusal(id))
 			default:
-				s.run(id)
+				s.recordRun(id)
 				if refused != "" {
 					_, _ = io.WriteString(conn, refusal(refused))
 				}
@@ -196,21 +197,21 @@
 			}
 		}
 	})
-	target := s.door()
-	is.Equal(outcomeOf(ask(target, "a")), result.TargetShed)
-	again := outcomeOf(ask(target, "a"))
+	target := s.client()
+	is.Equal(classify(sendRequest(target, "a")), result.TargetShed)
+	retried := classify(sendRequest(target, "a"))
 	is.Equal(s.ran["a"], 1)
-	is.True(again.Family() != result.NotRun) // it ran
-	is.Equal(again, result.OK)
-	is.Equal(outcomeOf(ask(target, "b")), result.OK)
+	is.True(retried.Family() != result.NotRun) // the retry ran
+	is.Equal(retried, result.OK)
+	is.Equal(classify(sendRequest(target, "b")), result.OK)
 }
 
-// A refusal that does not say which request it speaks of is the last word on its
-// connection: the next one there could be the same once more.
+// A connection is closed after a rejection that does not name its request, because the
+// next rejection on it could be a duplicate of the first.
 func TestRefusalWithoutAnIDEndsItsConnection(t *testing.T) {
 	is := is.New(t)
 	unnamed := "HTTP/1.1 503 Service Unavailable\r\n" + notRunMark + ": 1\r\nContent-Length: 0\r\n\r\n"
-	s := newScripted(t, func(s *scripted, conn net.Conn, reader *bufio.Reader) {
+	s := newScriptedTarget(t, func(s *scriptedTarget, conn net.Conn, reader *bufio.Reader) {
 		first := s.connections() == 1
 		for {
 			id, ok := nextID(reader)
@@ -221,21 +222,21 @@
 				_, _ = io.WriteString(conn, unnamed)
 				continue
 			}
-			s.run(id)
+			s.recordRun(id)
 			_, _ = io.WriteString(conn, success(id))
 		}
 	})
-	target := s.door()
-	is.Equal(outcomeOf(ask(target, "a")), result.TargetShed)
-	is.Equal(outcomeOf(ask(target, "b")), result.OK)
+	target := s.client()
+	is.Equal(classify(sendRequest(target, "a")), result.TargetShed)
+	is.Equal(classify(sendRequest(target, "b")), result.OK)
 	is.Equal(s.connections(), 2)
 }
 
-// A head, interim answers or a body without end are cut off by bounds on memory, and
-// their connection is closed, so that the target's writer fails.
+// Endless heads, interim answers and bodies are cut off by memory limits. The connection
+// is closed, so that the target's writes fail.
 func TestEndlessAnswersAreCutOff(t *testing.T) {
 	piece := strings.Repeat("x", 32<<10)
-	for _, one := range []struct{ name, begin, more string }{
+	for _, tc := range []struct{ name, prefix, repeated string }{
 		{"bytes that are no answer", "", piece},
 		{"one header line", "HTTP/1.1 200 OK\r\nX: ", piece},
 		{"header lines", "HTTP/1.1 200 OK\r\n", strings.Repeat("X-Line: rope\r\n", 2000)},
@@ -245,28 +246,28 @@
 		{"chunk extension", "HTTP/1.1 200 OK\r\n" + idHeader + ": a\r\n" + sealHeader + ": s\r\nTransfer-Encoding: chunked\r\n\r\n4;x=", piece},
 		{"trailer", "HTTP/1.1 200 OK\r\n" + idHeader + ": a\r\n" + sealHeader + ": s\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", strings.Repeat("X-Line: rope\r\n", 2000)},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			written := make(chan int, 1)
-			s := newScripted(t, func(_ *scripted, conn net.Conn, reader *bufio.Reader) {
+			s := newScriptedTarget(t, func(_ *scriptedTarget, conn net.Conn, reader *bufio.Reader) {
 				if _, ok := nextID(reader); !ok {
 					return
 				}
-				_, err := io.WriteString(conn, one.begin)
+				_, err := io.WriteString(conn, tc.prefix)
 				sum := 0
 				for err == nil && sum < endlessBytes {
-					_, err = io.WriteString(conn, one.more)
-					sum += len(one.more)
+					_, err = io.WriteString(conn, tc.repeated)
+					sum += len(tc.repeated)
 				}
 				written <- sum
 			})
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			reply := ask(s.door(), "a")
+			reply := sendRequest(s.client(), "a")
 			runtime.ReadMemStats(&after)
-			is.Equal(outcomeOf(reply).Family(), result.Unknown)
+			is.Equal(classify(reply).Family(), result.Unknown)
 			is.True(<-written < endlessBytes)                    // the connection was closed
-			is.True(after.TotalAlloc-before.TotalAlloc < 16<<20) // and little was taken
+			is.True(after.TotalAlloc-before.TotalAlloc < 16<<20) // and little memory was allocated
 		})
 	}
 }
--- a/internal/local/header.go
+++ b/internal/local/header.go
@@ -7,7 +7,7 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
-// hopByHop are the headers that belong to one connection and never travel on.
+// hopByHop holds the hop-by-hop headers, which are never forwarded.
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Content-Length":      true,
@@ -21,14 +21,14 @@
 	"Upgrade":             true,
 }
 
-// packer fills the form in which headers travel. All entries share their memory.
+// packer builds a header list for the relay protocol. Its entries share one allocation.
 type packer struct {
 	headers []relaypb.Header
 	packed  []*relaypb.Header
 }
 
-func newPacker(most int) *packer {
-	return &packer{headers: make([]relaypb.Header, most), packed: make([]*relaypb.Header, 0, most)}
+func newPacker(capacity int) *packer {
+	return &packer{headers: make([]relaypb.Header, capacity), packed: make([]*relaypb.Header, 0, capacity)}
 }
 
 func (p *packer) add(name, value string) {
@@ -42,8 +42,8 @@
 	p.packed = append(p.packed, header)
 }
 
-// Pack turns the headers of a call into the form in which they travel, without
-// those of one connection and those that only a node may write.
+// Pack converts the headers of a call to the relay protocol. It leaves out hop-by-hop
+// headers and those that only a node may set.
 func Pack(header http.Header) []*relaypb.Header {
 	p := newPacker(len(header))
 	for name, values := range header {
@@ -57,7 +57,8 @@
 	return p.packed
 }
 
-// packFields is Pack for the headers of an answer.
+// packFields converts the headers of an answer to the relay protocol, without the
+// hop-by-hop ones.
 func packFields(fields http1.Fields) []*relaypb.Header {
 	p := newPacker(len(fields))
 	for _, field := range fields {
@@ -68,14 +69,14 @@
 	return p.packed
 }
 
-// Unpack is the reverse of Pack.
+// Unpack converts headers from the relay protocol.
 func Unpack(packed []*relaypb.Header) http.Header {
 	header := make(http.Header, len(packed))
 	values := make([]string, len(packed))
 	for i, h := range packed {
 		name := http.CanonicalHeaderKey(h.Name)
-		if before := header[name]; before != nil {
-			header[name] = append(before, h.Value)
+		if earlier := header[name]; earlier != nil {
+			header[name] = append(earlier, h.Value)
 			continue
 		}
 		values[i] = h.Value
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -1,5 +1,5 @@
-// Package local carries attempts to the target beside this node. It has the
-// last word on admission and is the only witness of what ran at the target.
+// Package local runs attempts at the target beside this node. It makes the final
+// admission decision, and it alone observes which attempts reached the target.
 package local
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// Settings are what a Server is made of.
+// Settings holds the dependencies of a Server.
 type Settings struct {
 	Incarnation string
 	Service     string
@@ -36,43 +36,45 @@
 	Gate        *admit.Gate
 	Book        *fate.Book[*relaypb.CarryResponse]
 	Ledger      *once.Ledger[*relaypb.CarryResponse]
-	// LedgerBytes bounds the ledger whatever is declared.
+	// LedgerBytes is the upper bound on the memory of the ledger in bytes, whatever is
+	// declared.
 	LedgerBytes int64
-	// Kind returns the declared kind of that name, or nil.
+	// Kind returns the declared kind with the given name, or nil.
 	Kind func(name string) *schema.Kind
-	// Limits returns the declared bounds in force.
+	// Limits returns the declared limits in force.
 	Limits func() schema.Limits
-	// ShedStatus returns the status by which the target says that it shed a call.
+	// ShedStatus returns the HTTP status by which the target reports that it shed a call.
 	ShedStatus func() int
-	// Levels returns what this node knows of the floors of the services that a
+	// Levels returns the admission floors that this node knows of the services that a
 	// call of the kind may lead to.
 	Levels func(now time.Time, kind string) []*relaypb.Level
-	// Learn takes in the floor of this node's own gate.
+	// Learn receives the floor of this node's own gate.
 	Learn func(floor uint32)
-	// Onward carries a call to another target after the one beside this node
-	// refused it with the code. It may be nil.
+	// Onward sends a call to another target after the local one rejected it with the
+	// given code. It may be nil.
 	Onward func(ctx context.Context, c *call.Call, refused result.Code) *call.Answer
-	// Revision returns the configuration revision in force here.
+	// Revision returns the configuration revision in force on this node.
 	Revision func() int64
-	// Admits says whether the process of the target with that id takes work: OK,
-	// or the code of the refusal. Nil stands for targets that do not announce
+	// Admits returns OK if the target process with the given id accepts work, and the
+	// code to reject a call with otherwise. It is nil for targets that do not announce
 	// themselves.
 	Admits func(targetID string) result.Code
-	// Failures bounds the lines about attempts that did not end well; nil for none.
+	// Failures limits the rate of log lines about attempts that were not completed. If it
+	// is nil, none are logged.
 	Failures *trail.Limiter
-	// RetryRule is the part of the budget of repeats that this node keeps for its
-	// target, where all nodes share one; nil where they do not.
+	// RetryRule returns the rule for the part of the shared retry budget that this node
+	// keeps for its target. It is nil if the nodes share no retry budget.
 	RetryRule func() budget.Rule
-	// Requests returns how many requests the node has taken so far, for the log; it
+	// Requests returns how many requests the node has received so far, for logging. It
 	// may be nil.
 	Requests func() int64
-	// Pressed returns the pressure of services, as far as it is known here, for
-	// passing on with an answer of a kind; nil where requests do not go by it.
+	// Pressed returns the pressure of services known to this node, to be sent with an
+	// answer to a call of the kind. It is nil if admission does not depend on pressure.
 	Pressed func(kind string) []*relaypb.Pressed
 }
 
-// Server runs attempts at the target beside this node. One lock guards the
-// gate, the book and the ledger, whose methods only compute.
+// Server runs attempts at the target beside this node. One mutex guards the gate, the
+// attempt records and the ledger, whose methods never block.
 type Server struct {
 	settings Settings
 
@@ -81,45 +83,46 @@
 	waiting  map[string]*attempt
 	serving  map[string]*call.Serving
 	byKey    map[string]*attempt
-	// refusing is set once a leaving node takes no new work.
+	// refusing is set once a leaving node rejects new work.
 	refusing bool
 	leaving  bool
-	// endBy is when all that a leaving node still takes has to have ended; zero while
-	// that does not matter.
+	// endBy is the latest deadline of attempts that a leaving node still admits. It is
+	// zero if there is no such limit.
 	endBy   time.Time
 	origins origins
-	// window is the budget of repeats; nil without a RetryRule.
-	window *budget.Window
-	// queued is signalled when a call begins to wait.
-	queued chan struct{}
-	// regulated is set once the ledger has the declared rules.
-	regulated bool
-	// stopped is whether the target was last seen to have stopped.
+	// retryWindow is the retry budget; nil without a RetryRule.
+	retryWindow *budget.Window
+	// wakeup is signalled when a call is queued.
+	wakeup chan struct{}
+	// keyRulesSet is set once the ledger uses the declared rules.
+	keyRulesSet bool
+	// stopped is whether the target had stopped at the last tick.
 	stopped bool
-	// begun counts the attempts that were carried.
-	begun   int64
-	watch   *watch
+	// started counts the attempts started so far.
+	started int64
+	monitor *selfMonitor
 	running sync.WaitGroup
 }
 
 const (
-	// tickPeriod is how often the gate drops expired calls and adapts while
-	// calls wait. While calls run it is the same for a target that does not
-	// announce itself, which the gate watches for signs of life.
+	// tickPeriod is the time between two ticks of the gate, which drop expired calls and
+	// adapt its limit, while calls are queued. It also applies while calls are in flight
+	// at a target that does not announce itself, because the gate then has to detect
+	// whether the target still works.
 	tickPeriod = 10 * time.Millisecond
-	// idlePeriod takes its place otherwise. It is the interval in
-	// which the gate sets its floor anew, so that a floor relaxes as fast.
+	// idlePeriod is the time between two ticks otherwise. It equals the interval at which
+	// the gate updates its floor, so that the floor drops equally fast on an idle node.
 	idlePeriod = 50 * time.Millisecond
-	// forgetPeriod is how often old records are dropped.
-	forgetPeriod = time.Second
-	permille     = 1000
-	// abandonAfter is how long a safe call goes on with nobody waiting for
-	// it: long enough for a sender whose connection broke to ask for it, and short
-	// enough that the target stops work soon after a caller has left.
+	// maintenancePeriod is the time between two calls of maintain.
+	maintenancePeriod = time.Second
+	permille          = 1000
+	// abandonAfter is how long a call that is safe to retry continues without a waiter. It
+	// is long enough for a sender that lost its connection to ask for the answer, and short
+	// enough that the target stops work soon after a caller has gone.
 	abandonAfter = 250 * time.Millisecond
 )
 
-// New returns a server that admits work from the start.
+// New returns a server that admits work immediately.
 func New(settings Settings) *Server {
 	s := &Server{
 		settings: settings,
@@ -128,39 +131,39 @@
 		serving:  map[string]*call.Serving{},
 		byKey:    map[string]*attempt{},
 		origins:  newOrigins(),
-		queued:   make(chan struct{}, 1),
-		watch:    &watch{metrics: settings.Metrics, log: settings.Log},
+		wakeup:   make(chan struct{}, 1),
+		monitor:  &selfMonitor{metrics: settings.Metrics, log: settings.Log},
 	}
 	if settings.RetryRule != nil {
-		s.window = budget.NewWindow(settings.RetryRule())
+		s.retryWindow = budget.NewWindow(settings.RetryRule())
 	}
 	return s
 }
 
-// Run keeps the gate and the records up to date until the context ends.
+// Run ticks the gate and drops expired records until the context ends.
 func (s *Server) Run(ctx context.Context) {
 	period := idlePeriod
-	forgetAt := s.settings.Clock.Now().Add(forgetPeriod)
+	forgetAt := s.settings.Clock.Now().Add(maintenancePeriod)
 	for {
 		due := s.settings.Clock.Now().Add(period)
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.settings.Clock.After(period):
-			s.watch.timer(s.settings.Clock.Now().Sub(due))
-		case <-s.queued:
-			// A call that waits is looked at more often from now on.
+			s.monitor.observeTimer(s.settings.Clock.Now().Sub(due))
+		case <-s.wakeup:
+			// A call was queued: tick at once, and then every tickPeriod.
 		}
 		period = s.tick()
 		if now := s.settings.Clock.Now(); !now.Before(forgetAt) {
-			forgetAt = now.Add(forgetPeriod)
-			s.forget()
+			forgetAt = now.Add(maintenancePeriod)
+			s.maintain()
 		}
 	}
 }
 
-// Carry takes an attempt that a node addressed to this one and waits for its
-// answer. An attempt that came before is joined, never run again.
+// Carry runs an attempt that a node addressed to this one and returns its answer. It is
+// idempotent: an attempt that was received before is waited for, never run again.
 func (s *Server) Carry(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
 	node, targetID := relay.SplitIncarnation(request.Incarnation)
 	if node != s.settings.Incarnation {
@@ -195,7 +198,8 @@
 	return s.wait(ctx, a)
 }
 
-// Fate says what became of an attempt, and waits for one that is running.
+// Fate returns the state of an attempt. For a running one it waits for the answer, for as
+// long as the request asks.
 func (s *Server) Fate(ctx context.Context, request *relaypb.FateRequest) *relaypb.FateResponse {
 	if node, _ := relay.SplitIncarnation(request.Incarnation); node != s.settings.Incarnation {
 		return &relaypb.FateResponse{State: relaypb.FateState_FATE_STATE_OTHER_INCARNATION}
@@ -210,7 +214,7 @@
 	case fate.Done:
 		return &relaypb.FateResponse{State: relaypb.FateState_FATE_STATE_DONE, Answer: recorded}
 	case fate.Dropped, fate.Expired, fate.Invalid:
-		// It may have run, and its answer is gone.
+		// The attempt may have run, but its answer is no longer stored.
 		return &relaypb.FateResponse{State: relaypb.FateState_FATE_STATE_OTHER_INCARNATION}
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.WaitMs)*time.Millisecond)
@@ -221,6 +225,7 @@
 	return &relaypb.FateResponse{State: relaypb.FateState_FATE_STATE_RUNNING}
 }
 
+// admits returns OK if the target process accepts work, and the rejection code otherwise.
 func (s *Server) admits(targetID string) result.Code {
 	if s.settings.Admits == nil {
 		return result.OK
@@ -228,7 +233,7 @@
 	return s.settings.Admits(targetID)
 }
 
-// Restart puts the declaration of a new process of the target in force.
+// Restart applies the declaration of a new process of the target.
 func (s *Server) Restart(settings admit.Settings, connections int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,7 +241,7 @@
 	s.settings.Gate.Restart(s.settings.Clock.Now(), settings)
 }
 
-// Serving returns the attempt that a handle of the target stands for.
+// Serving returns the attempt in flight at the target that the context handle names.
 func (s *Server) Serving(handle string) (*call.Serving, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -244,15 +249,15 @@
 	return serving, ok
 }
 
-// Leave marks the node as leaving: its answers say so from now on.
+// Leave marks the node as leaving, which all later answers report.
 func (s *Server) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// RefuseNew ends admission, also of fresh keys; what was admitted or queued
-// goes on.
+// RefuseNew stops admission, also of new idempotency keys. Admitted and queued attempts
+// continue.
 func (s *Server) RefuseNew() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -260,15 +265,15 @@
 	s.settings.Ledger.Leave(s.settings.Clock.Now())
 }
 
-// EndBy has attempts that may go on beyond a time refused; their senders go elsewhere
-// with them.
+// EndBy makes the server reject attempts whose deadline is after end. Their senders try
+// other nodes.
 func (s *Server) EndBy(end time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endBy = end
 }
 
-// Drained returns a channel that is closed when no attempt is left.
+// Drained returns a channel that is closed when no attempt is running.
 func (s *Server) Drained() <-chan struct{} {
 	drained := make(chan struct{})
 	go func() {
@@ -278,28 +283,29 @@
 	return drained
 }
 
-// Load returns what the target is at work on.
+// Load returns the load of the target.
 func (s *Server) Load() admit.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.settings.Gate.Load(s.settings.Clock.Now())
 }
 
-// Floor returns the target's level of admission.
+// Floor returns the admission floor of the target: calls of a lower order are rejected
+// before they are sent.
 func (s *Server) Floor() uint32 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.settings.Gate.Floor(s.settings.Clock.Now())
 }
 
-// SetConnections puts another bound on the connections to the target in force.
+// SetConnections changes the maximum number of connections to the target.
 func (s *Server) SetConnections(connections int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.settings.Target.SetConnections(connections)
 }
 
-// Resize puts another declaration of the service in force.
+// Resize applies a changed declaration of the service.
 func (s *Server) Resize(settings admit.Settings, connections int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -307,38 +313,39 @@
 	s.settings.Gate.Resize(s.settings.Clock.Now(), settings)
 }
 
-// Regulate puts the declared bounds on idempotency keys in force. The clock
-// margin and the bytes for records are taken from the first declaration only:
-// promises that were made with one margin do not hold under another.
+// Regulate applies the declared limits on idempotency keys. Only the key age may change
+// later. The clock margin and the memory for records are taken from the first
+// declaration, because promises made with one margin do not hold with another.
 func (s *Server) Regulate(self once.Node, rules once.Rules, recordBytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.regulated {
+	if s.keyRulesSet {
 		s.settings.Ledger.SetKeyAge(s.settings.Clock.Now(), rules.KeyAge)
 		return
 	}
-	s.regulated = true
+	s.keyRulesSet = true
 	s.settings.Ledger = once.NewLedger[*relaypb.CarryResponse](self, rules, min(recordBytes, s.settings.LedgerBytes))
 }
 
-// Keep forgets what is known of kinds that are not declared.
+// Keep drops the statistics of kinds that are not declared.
 func (s *Server) Keep(declared func(kind string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.origins.keep(declared)
+	s.origins.retain(declared)
 	s.settings.Gate.Keep(declared)
 }
 
-// Ledger runs a function on the idempotency records under the server's lock.
+// Ledger calls use with the ledger of idempotency keys while it holds the server's mutex.
 func (s *Server) Ledger(use func(ledger *once.Ledger[*relaypb.CarryResponse])) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	use(s.settings.Ledger)
 }
 
-// tick adapts the gate, and returns the time until it is to do so again.
+// tick updates the gate, the floor and the gauges, and returns the time until the next
+// tick.
 func (s *Server) tick() time.Duration {
-	load, floor := s.adapt()
+	load, floor := s.tickGate()
 	s.settings.Learn(floor)
 	s.settings.Metrics.InFlight.Set(float64(load.InFlight))
 	s.settings.Metrics.Limit.Set(float64(load.Limit))
@@ -351,30 +358,30 @@
 	return idlePeriod
 }
 
-// hasten has the gate looked at soon, as a call waits.
-func (s *Server) hasten() {
+// wake makes Run tick soon, because a call was queued.
+func (s *Server) wake() {
 	if len(s.waiting) > 1 {
-		return // it is looked at often already
+		return // Run already ticks every tickPeriod.
 	}
 	select {
-	case s.queued <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// adapt lets the gate follow the time, and returns its load and its floor.
-func (s *Server) adapt() (admit.Load, uint32) {
+// tickGate advances the gate to the present time, and returns its load and its floor.
+func (s *Server) tickGate() (admit.Load, uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.settings.Clock.Now()
 	s.release(s.settings.Gate.Tick(now))
-	s.noteStop()
+	s.logStopped()
 	return s.settings.Gate.Load(now), s.settings.Gate.Floor(now)
 }
 
-// noteStop logs and counts that the target has stopped, or goes on. The lock
-// is held.
-func (s *Server) noteStop() {
+// logStopped logs when the target stops or resumes work, and counts the stops. s.mu must
+// be held.
+func (s *Server) logStopped() {
 	stopped := s.settings.Gate.Stopped()
 	if stopped == s.stopped {
 		return
@@ -388,21 +395,22 @@
 	s.settings.Log.Info("target_goes_on", "service", s.settings.Service)
 }
 
-// sign notes that the target has shown that it works.
-func (s *Server) sign() {
+// recordLiveness tells the gate that the target has shown activity.
+func (s *Server) recordLiveness() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.settings.Gate.Sign(s.settings.Clock.Now())
 }
 
-func (s *Server) forget() {
+// maintain drops expired records, updates the retry budget and exports statistics.
+func (s *Server) maintain() {
 	rule := s.retryRule()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.settings.Clock.Now()
-	s.origins.fade()
-	if s.window != nil {
-		s.window.SetRule(rule)
+	s.origins.decay()
+	if s.retryWindow != nil {
+		s.retryWindow.SetRule(rule)
 	}
 	load := s.settings.Gate.Load(now)
 	s.settings.Log.Debug("gate_load", "in_flight", load.InFlight, "limit", load.Limit, "queued", load.Queued, "offered", load.Offered, "cold", load.Cold)
@@ -410,8 +418,8 @@
 	s.settings.Ledger.Forget(now)
 	book := s.settings.Book.Stats()
 	s.settings.Metrics.RecordBytes.Set(float64(book.Bytes + s.settings.Ledger.Stats().Bytes))
-	s.watch.look(book, s.settings.Book.MaxBytes())
-	s.watch.report(now, s.begun, s.requests())
+	s.monitor.check(book, s.settings.Book.MaxBytes())
+	s.monitor.reportUsage(now, s.started, s.requests())
 	s.settings.Metrics.HeldBytes.Set(float64(s.settings.Target.HeldBytes()))
 }
 
@@ -422,35 +430,35 @@
 	return s.settings.Requests()
 }
 
-// start begins an attempt of which the book has just been told. The lock is held.
+// start starts an attempt that was just added to the attempt records. s.mu must be held.
 func (s *Server) start(now time.Time, request *relaypb.CarryRequest) *attempt {
 	a := &attempt{
-		server:  s,
-		request: request,
-		kind:    s.kindOf(request),
-		handle:  uuid.NewString(),
-		done:    make(chan struct{}),
-		admit:   make(chan admit.Release, 1),
+		server:       s,
+		request:      request,
+		kind:         s.kindOf(request),
+		handle:       uuid.NewString(),
+		done:         make(chan struct{}),
+		gateDecision: make(chan admit.Release, 1),
 		serving: &call.Serving{
 			RequestID:  request.RequestId,
 			Importance: schema.Importance(request.Importance),
 			Position:   uint16(request.Position),
 			Deadline:   now.Add(time.Duration(request.TimeLeftMs) * time.Millisecond),
 			Tokens:     call.NewTokens(int(request.Tokens)),
-			Moved:      s.sign,
+			Moved:      s.recordLiveness,
 		},
 	}
 	s.attempts[request.AttemptId] = a
-	s.begun++
+	s.started++
 	s.origins.count(request.Kind, request.CallerService)
-	s.requested(now, request)
+	s.countRequest(now, request)
 	s.running.Add(1)
 	crew.Go(a.run)
 	return a
 }
 
-// kindOf returns the declared kind of an attempt, or what the attempt itself says
-// of it: its sender may have a newer revision.
+// kindOf returns the declared kind of an attempt. If the kind is not declared on this
+// node, it is derived from the attempt, whose sender may have a newer revision.
 func (s *Server) kindOf(request *relaypb.CarryRequest) *schema.Kind {
 	if kind := s.settings.Kind(request.Kind); kind != nil {
 		return kind
@@ -462,23 +470,23 @@
 	return kind
 }
 
-// release passes on the gate's decisions about queued calls. The lock is held.
+// release delivers the gate's decisions about queued calls. s.mu must be held.
 func (s *Server) release(releases []admit.Release) {
 	for _, release := range releases {
 		if a, ok := s.waiting[release.ID]; ok {
 			delete(s.waiting, release.ID)
-			a.admit <- release
+			a.gateDecision <- release
 		}
 	}
 }
 
-// wait returns the attempt's answer, or nil when the context ends first.
+// wait returns the attempt's answer, or nil if the context ends first.
 func (s *Server) wait(ctx context.Context, a *attempt) *relaypb.CarryResponse {
 	if a == nil {
 		return nil
 	}
-	a.join()
-	defer a.part()
+	a.addWaiter()
+	defer a.removeWaiter()
 	select {
 	case <-a.done:
 		return a.answer
@@ -487,14 +495,15 @@
 	}
 }
 
-// Refuse answers an attempt that is not taken at all.
+// Refuse returns the answer to an attempt that is rejected before it starts.
 func (s *Server) Refuse(request *relaypb.CarryRequest, code result.Code) *relaypb.CarryResponse {
 	s.settings.Metrics.Refusals.WithLabelValues(s.settings.Service, code.String()).Inc()
-	return s.dress(request, &relaypb.CarryResponse{Code: uint32(code), TokensLeft: request.Tokens})
+	return s.addNodeState(request, &relaypb.CarryResponse{Code: uint32(code), TokensLeft: request.Tokens})
 }
 
-// dress adds to an answer what every answer tells of the node.
-func (s *Server) dress(request *relaypb.CarryRequest, answer *relaypb.CarryResponse) *relaypb.CarryResponse {
+// addNodeState adds the load, floors and revision of this node to an answer. Every answer
+// carries them.
+func (s *Server) addNodeState(request *relaypb.CarryRequest, answer *relaypb.CarryResponse) *relaypb.CarryResponse {
 	now := s.settings.Clock.Now()
 	levels := s.settings.Levels(now, request.Kind)
 	if s.settings.Pressed != nil {
@@ -504,7 +513,7 @@
 	defer s.mu.Unlock()
 	load := s.settings.Gate.Load(now)
 	answer.AttemptId = request.AttemptId
-	answer.Inner = s.settings.Admits != nil && s.origins.inner(request.Kind)
+	answer.Inner = s.settings.Admits != nil && s.origins.isInternal(request.Kind)
 	answer.Revision = s.settings.Revision()
 	answer.Levels = levels
 	answer.Levels = append(answer.Levels, &relaypb.Level{
@@ -516,7 +525,7 @@
 	return answer
 }
 
-// PackLoad returns a load in the form that travels between nodes.
+// PackLoad converts a load to the relay protocol.
 func PackLoad(load admit.Load, leaving bool) *relaypb.Load {
 	return &relaypb.Load{
 		InFlight:        uint32(load.InFlight),
--- a/internal/local/local_test.go
+++ b/internal/local/local_test.go
@@ -28,23 +28,23 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// rawTarget answers every request with the same bytes, whatever HTTP says.
+// rawTarget answers every request with the same bytes, whether or not they are valid HTTP.
 type rawTarget struct {
 	listener net.Listener
 	answer   string
 	hang     chan struct{}
 	requests atomic.Int32
-	// closeReused makes it close a connection without an answer when a second
-	// request comes on it.
+	// closeReused makes the target close a connection without an answer when a second
+	// request arrives on it.
 	closeReused bool
-	// serving is called while a request is under way.
+	// serving is called while a request is in flight.
 	serving func(handle string)
 }
 
 const incarnation = "inc-1"
 
-// TestAnswers plays what a target sends, byte by byte, and states the result
-// that the node gives and the body that it lets through.
+// TestAnswers replays the exact bytes that a target sends, and prints the result of the
+// node and the body that it passes on.
 func TestAnswers(t *testing.T) {
 	datadriven.RunTest(t, "testdata/answers", func(t *testing.T, d *datadriven.TestData) string {
 		target := newRawTarget(t)
@@ -87,8 +87,8 @@
 	})
 }
 
-// The same attempt that arrives many times, at once and later, runs once, and
-// every sender gets its answer.
+// An attempt that arrives several times, concurrently and later, runs once, and every
+// sender gets its answer.
 func TestDuplicateAttemptRunsOnce(t *testing.T) {
 	is := is.New(t)
 	target := newRawTarget(t)
@@ -111,8 +111,8 @@
 	is.Equal(target.requests.Load(), int32(1))
 }
 
-// An attempt of which the node has said that it never saw it must not run when
-// it arrives after all.
+// Once the node has reported an attempt as never seen, that attempt must not run when it
+// arrives later.
 func TestLateArrivalAfterNeverSeenIsRefused(t *testing.T) {
 	is := is.New(t)
 	target := newRawTarget(t)
@@ -139,50 +139,50 @@
 	is.Equal(target.requests.Load(), int32(0))
 }
 
-// When the target hangs, its node stays the owner of the keys that fall to it: it
-// has another target run them, and answers their repetition from its record.
+// When the target hangs, its node remains the owner of its keys: it forwards their calls
+// to another target and answers repeats from its records.
 func TestKeysOfAStoppedTargetGoOnward(t *testing.T) {
 	is := is.New(t)
 	target := newRawTarget(t)
-	// The raw target closes each connection after its answer, and has to say so: a
-	// call on a connection that was announced as kept would be lost with it.
+	// The raw target closes each connection after its answer and must announce this,
+	// because a call on a connection assumed to be kept alive would be lost.
 	target.answer = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nhere"
 	kind := &schema.Kind{Name: "k", Service: "s", Repeat: schema.Never}
 	server := newServer(target.listener.Addr().String(), kind, schema.DefaultLimits())
 	server.settings.Ledger = owningLedger(t)
 	server.settings.Learn = func(uint32) {}
-	var onward []*call.Call
+	var forwarded []*call.Call
 	server.settings.Onward = func(_ context.Context, c *call.Call, refused result.Code) *call.Answer {
 		is.Equal(refused, result.TargetStopped)
-		onward = append(onward, c)
+		forwarded = append(forwarded, c)
 		return &call.Answer{Code: result.OK, Status: http.StatusOK, Body: []byte("there")}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go server.Run(ctx)
-	is.Equal(string(server.Carry(ctx, newKeyed(kind)).Body), "here")
+	is.Equal(string(server.Carry(ctx, newKeyedAttempt(kind)).Body), "here")
 	target.hang = make(chan struct{})
 	const hanging = 2
 	for range hanging {
-		go server.Carry(ctx, newKeyed(kind))
+		go server.Carry(ctx, newKeyedAttempt(kind))
 	}
-	time.Sleep(time.Second)                            // twice the least silence
-	is.Equal(target.requests.Load(), int32(1+hanging)) // all of them reached the target
-	keyed := newKeyed(kind)
+	time.Sleep(time.Second)                            // twice the minimum silence before a target counts as stopped
+	is.Equal(target.requests.Load(), int32(1+hanging)) // all calls reached the target
+	keyed := newKeyedAttempt(kind)
 	is.Equal(string(server.Carry(ctx, keyed).Body), "there")
-	is.Equal(len(onward), 1)
-	is.Equal(onward[0].Key, "") // the target that runs it owns no key
+	is.Equal(len(forwarded), 1)
+	is.Equal(forwarded[0].Key, "") // the node that runs it does not own the key
 	keyed.AttemptId = uuid.Must(uuid.NewV7()).String()
-	is.True(server.Load().Stopped > 0)                  // the status shows it
-	is.True(server.Refuse(keyed, 0).Load.StoppedMs > 0) // and it travels
-	again := server.Carry(ctx, keyed)
-	is.Equal(result.Code(again.Code), result.Replayed)
-	is.Equal(string(again.Body), "there")
-	is.Equal(len(onward), 1)
+	is.True(server.Load().Stopped > 0)                  // the status reports the stop
+	is.True(server.Refuse(keyed, 0).Load.StoppedMs > 0) // and so does each answer
+	repeated := server.Carry(ctx, keyed)
+	is.Equal(result.Code(repeated.Code), result.Replayed)
+	is.Equal(string(repeated.Body), "there")
+	is.Equal(len(forwarded), 1)
 	close(target.hang)
 }
 
-// owningLedger returns the ledger of a node that owns every key minted from now on.
+// owningLedger returns the ledger of a node that owns all keys created from now on.
 func owningLedger(t *testing.T) *once.Ledger[*relaypb.CarryResponse] {
 	t.Helper()
 	rules := once.Rules{Slots: 1, Lease: time.Hour, Margin: time.Millisecond, KeyAge: time.Minute}
@@ -197,7 +197,7 @@
 	return ledger
 }
 
-func newKeyed(kind *schema.Kind) *relaypb.CarryRequest {
+func newKeyedAttempt(kind *schema.Kind) *relaypb.CarryRequest {
 	request := newAttempt(kind)
 	request.Key = uuid.Must(uuid.NewV7()).String()
 	return request
@@ -280,8 +280,8 @@
 	}
 }
 
-// An attempt that has its answer leaves no timer behind: at 2,000 calls a second their
-// ends would wake the node as often once more.
+// An answered attempt leaves no timer running. At 2,000 calls per second, the expiring
+// timers would wake the node another 2,000 times per second.
 func TestEndedAttemptLeavesNoTimer(t *testing.T) {
 	is := is.New(t)
 	target := newRawTarget(t)
@@ -292,5 +292,5 @@
 	a := server.start(time.Now(), newAttempt(kind))
 	server.mu.Unlock()
 	is.Equal(string(server.wait(context.Background(), a).Body), "mine")
-	is.True(a.idle == nil)
+	is.True(a.abandonTimer == nil)
 }
--- a/internal/local/onward.go
+++ b/internal/local/onward.go
@@ -10,18 +10,18 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// onward sends a call to another target of the service when the target beside
-// this node did not run it. This node stays the owner of the call's key: it
-// keeps the record, lets nobody else run the key meanwhile, and passes the
-// answer on. Other calls need no such help, since their sender may choose
-// another node; the key's owner it cannot choose.
-func (a *attempt) onward(ctx context.Context, refused *relaypb.CarryResponse) *relaypb.CarryResponse {
+// forward sends a call with an idempotency key to another target of the service if the
+// local target did not run it. This node remains the owner of the key: it keeps the
+// record, prevents any other run of the key meanwhile, and returns the answer. Calls
+// without a key are not forwarded, because their sender can choose another node; it
+// cannot choose another owner of a key.
+func (a *attempt) forward(ctx context.Context, refused *relaypb.CarryResponse) *relaypb.CarryResponse {
 	s := a.server
 	code := result.Code(refused.Code)
-	if !a.keyed || s.settings.Onward == nil || !movable(code) {
+	if !a.keyed || s.settings.Onward == nil || !forwardable(code) {
 		return refused
 	}
-	answer := s.settings.Onward(ctx, a.call(), code)
+	answer := s.settings.Onward(ctx, a.keylessCall(), code)
 	if answer.Code.Family() == result.NotRun {
 		return refused
 	}
@@ -36,8 +36,9 @@
 	}
 }
 
-// movable says whether a refusal speaks of the target beside this node alone.
-func movable(code result.Code) bool {
+// forwardable reports whether a refusal applies to the local target only, so that
+// another target may still run the call.
+func forwardable(code result.Code) bool {
 	switch code {
 	case result.Overloaded, result.QueueExpired, result.Evicted, result.TargetShed, result.TargetStopped:
 		return true
@@ -45,8 +46,8 @@
 	return false
 }
 
-// call makes the attempt a call without a key, which any target may run.
-func (a *attempt) call() *call.Call {
+// keylessCall returns the attempt as a call without a key, which any target may run.
+func (a *attempt) keylessCall() *call.Call {
 	return &call.Call{
 		RequestID:  a.request.RequestId,
 		Kind:       a.kind,
--- a/internal/local/order_test.go
+++ b/internal/local/order_test.go
@@ -11,8 +11,8 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// Calls that targets make, all from one service, wait by arrival whatever place
-// they drew, and a request of a caller goes before them.
+// Where targets announce themselves, the calls that they make, all from one service, are
+// queued in order of arrival whatever place they drew, behind the requests of callers.
 func TestCallsOfTargetsWaitByArrival(t *testing.T) {
 	is := is.New(t)
 	target := newRawTarget(t)
@@ -21,8 +21,8 @@
 	inner := &schema.Kind{Name: "inner", Service: "s", Method: http.MethodGet, Repeat: schema.Safe}
 	announced := newServer(target.listener.Addr().String(), inner, schema.DefaultLimits())
 	announced.settings.Admits = func(string) result.Code { return result.OK }
-	own := newServer(target.listener.Addr().String(), inner, schema.DefaultLimits())
-	for _, s := range []*Server{announced, own} {
+	unannounced := newServer(target.listener.Addr().String(), inner, schema.DefaultLimits())
+	for _, s := range []*Server{announced, unannounced} {
 		for range 2 * int(minOrigins) {
 			s.origins.count("inner", "orders")
 		}
@@ -39,8 +39,8 @@
 	is.Equal(position(announced, "inner", 60_000), uint16(0))
 	is.Equal(position(announced, "inner", 3), uint16(0))
 	is.Equal(position(announced, "direct", 3), uint16(3))
-	is.Equal(position(own, "inner", 60_000), uint16(60_000)) // there calls inherit their request's place
+	is.Equal(position(unannounced, "inner", 60_000), uint16(60_000)) // without announcements, calls inherit the place of their request
 	close(target.hang)
 	<-announced.Drained()
-	<-own.Drained()
+	<-unannounced.Drained()
 }
--- a/internal/local/origin.go
+++ b/internal/local/origin.go
@@ -2,32 +2,35 @@
 
 import "maps"
 
-// origins counts which services the calls of each kind come from. Callers send
-// their requests through all nodes alike, while calls that targets make for other
-// calls enter at the nodes of one or two services.
+// origins counts the services from whose nodes the calls of each kind come, to tell
+// internal kinds, which targets call, from those that callers request. Callers spread
+// their requests evenly over all nodes, while calls made by targets come from the nodes
+// of one or two services.
 type origins struct {
 	byKind map[string]map[string]float64
-	// known holds what was last seen of a kind. It stays while there are too few
-	// calls to tell: a throttle that takes calls of targets for requests of callers
-	// lets next to none through, and would never hear better.
-	known map[string]bool
+	// lastKnown holds the last verdict on each kind. It stays while there are too few
+	// calls for a new one: a throttle that mistakes calls of targets for requests of
+	// callers admits next to none, so the verdict would never be corrected.
+	lastKnown map[string]bool
 }
 
 const (
-	// originFade is what remains of the counts after one forgetPeriod.
-	originFade = 0.8
-	// minOrigins is how many calls say something.
+	// originDecay is the factor applied to all counts every maintenancePeriod.
+	originDecay = 0.8
+	// minOrigins is the least number of calls for a verdict.
 	minOrigins = 5.0
-	// innerShare is the share of one service above which a kind counts as inner.
-	innerShare = 0.85
-	// Where several services make such calls, at least manyOrigins show that another
-	// makes none: less than strayShare of what would be its even part.
-	manyOrigins = 30.0
-	strayShare  = 0.1
+	// internalShare is the share of calls from one service from which on a kind counts as
+	// internal.
+	internalShare = 0.85
+	// minSubsetOrigins is the least number of calls for the verdict that a kind comes
+	// from some of the services only. A service counts as sending none of the kind if it
+	// sends less than absentShare of an even share.
+	minSubsetOrigins = 30.0
+	absentShare      = 0.1
 )
 
 func newOrigins() origins {
-	return origins{byKind: map[string]map[string]float64{}, known: map[string]bool{}}
+	return origins{byKind: map[string]map[string]float64{}, lastKnown: map[string]bool{}}
 }
 
 func (o *origins) count(kind, service string) {
@@ -39,23 +42,24 @@
 	services[service]++
 }
 
-// inner says whether the calls of a kind come from one service, or from some while
-// others send other kinds only; or did when there were last enough to tell.
-func (o *origins) inner(kind string) bool {
-	sum, most := 0.0, 0.0
+// isInternal reports whether a kind is called by targets: its calls come from one
+// service, or from some services while others send only other kinds. With too few calls
+// for a verdict it returns the last one.
+func (o *origins) isInternal(kind string) bool {
+	sum, largest := 0.0, 0.0
 	for _, count := range o.byKind[kind] {
 		sum += count
-		most = max(most, count)
+		largest = max(largest, count)
 	}
 	if sum >= minOrigins {
-		o.known[kind] = most >= innerShare*sum || o.partial(kind, sum)
+		o.lastKnown[kind] = largest >= internalShare*sum || o.fromSubset(kind, sum)
 	}
-	return o.known[kind]
+	return o.lastKnown[kind]
 }
 
-// partial says whether some service sends other kinds, and next to none of this one.
-func (o *origins) partial(kind string, sum float64) bool {
-	if sum < manyOrigins {
+// fromSubset reports whether some service sends other kinds and next to none of this one.
+func (o *origins) fromSubset(kind string, sum float64) bool {
+	if sum < minSubsetOrigins {
 		return false
 	}
 	others := map[string]float64{}
@@ -68,22 +72,23 @@
 	}
 	even := sum / float64(max(len(others), 1))
 	for service, count := range others {
-		if count >= minOrigins && o.byKind[kind][service] < strayShare*even {
+		if count >= minOrigins && o.byKind[kind][service] < absentShare*even {
 			return true
 		}
 	}
 	return false
 }
 
-// keep forgets the kinds that are not declared.
-func (o *origins) keep(declared func(kind string) bool) {
-	maps.DeleteFunc(o.known, func(kind string, _ bool) bool { return !declared(kind) })
+// retain drops the verdicts on kinds that are not declared.
+func (o *origins) retain(declared func(kind string) bool) {
+	maps.DeleteFunc(o.lastKnown, func(kind string, _ bool) bool { return !declared(kind) })
 }
 
-func (o *origins) fade() {
+// decay reduces all counts, so that old calls lose their weight.
+func (o *origins) decay() {
 	for kind, services := range o.byKind {
 		for service := range services {
-			services[service] *= originFade
+			services[service] *= originDecay
 			if services[service] < 1/minOrigins {
 				delete(services, service)
 			}
--- a/internal/local/origin_test.go
+++ b/internal/local/origin_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// A node learns from the few calls of targets that a throttle lets through, here
-// three a second, that targets make them, and does not forget it when they cease.
+// A node recognises internal calls even if a throttle admits only a few of them, here
+// three per second, and remembers the verdict when the calls stop.
 func TestCallsOfTargetsAreKnownByFew(t *testing.T) {
 	is := is.New(t)
 	o := newOrigins()
@@ -16,21 +16,21 @@
 		for range 3 {
 			o.count("inner", "orders")
 		}
-		o.fade()
+		o.decay()
 	}
-	is.True(o.inner("inner"))
+	is.True(o.isInternal("inner"))
 	for range 60 {
-		o.fade()
+		o.decay()
 	}
-	is.True(o.inner("inner"))
+	is.True(o.isInternal("inner"))
 	for range 100 {
 		o.count("inner", "orders")
 		o.count("inner", "stock")
 	}
-	is.True(!o.inner("inner")) // callers ask for it too
+	is.True(!o.isInternal("inner")) // callers request the kind too
 }
 
-// Requests of callers come through all nodes alike.
+// Callers spread their requests evenly over all nodes.
 func TestRequestsOfCallersAreNotTakenForCallsOfTargets(t *testing.T) {
 	is := is.New(t)
 	o := newOrigins()
@@ -38,11 +38,11 @@
 	for i := range 30 {
 		o.count("direct", services[i%len(services)])
 	}
-	is.True(!o.inner("direct"))
+	is.True(!o.isInternal("direct"))
 }
 
-// Since a change of weights, orders run at two services, and both make the same
-// calls. They are calls of targets as long as other services make none.
+// After a change of weights, orders run at two services, and both make the same calls.
+// The calls count as internal as long as other services make none of them.
 func TestCallsOfTwoServicesAreCallsOfTargets(t *testing.T) {
 	is := is.New(t)
 	o := newOrigins()
@@ -51,11 +51,11 @@
 		o.count("inner", services[i%2])
 		o.count("direct", services[i%4])
 	}
-	is.True(o.inner("inner"))
-	is.True(!o.inner("direct"))
+	is.True(o.isInternal("inner"))
+	is.True(!o.isInternal("direct"))
 }
 
-// Requests of callers that chance spreads unevenly stay what they are.
+// Random unevenness in the origins of callers' requests does not make them internal.
 func TestUnevenRequestsOfCallersAreNotTakenForCallsOfTargets(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	services := []string{"orders", "stock", "lines", "rounds"}
@@ -66,26 +66,26 @@
 			o.count("other", services[random.IntN(4)])
 			o.count("inner", services[random.IntN(2)])
 		}
-		if o.inner("direct") || o.inner("other") || !o.inner("inner") {
-			t.Fatalf("taken wrongly: %v", o.byKind)
+		if o.isInternal("direct") || o.isInternal("other") || !o.isInternal("inner") {
+			t.Fatalf("kind misclassified, counts by kind and service: %v", o.byKind)
 		}
 	}
 }
 
-// What was last seen of a kind stays while there are too few calls to tell, but not
-// longer than the kind is declared.
+// The last verdict on a kind is kept while there are too few calls for a new one, but only
+// as long as the kind is declared.
 func TestOriginsOfRemovedKindsAreForgotten(t *testing.T) {
 	is := is.New(t)
 	o := newOrigins()
 	for range 10 {
 		o.count("gone", "a")
 	}
-	is.True(o.inner("gone"))
+	is.True(o.isInternal("gone"))
 	for range 100 {
-		o.fade()
+		o.decay()
 	}
-	is.True(o.inner("gone"))
-	o.keep(func(string) bool { return false })
-	is.Equal(o.inner("gone"), false)
-	is.Equal(len(o.known)+len(o.byKind), 0)
+	is.True(o.isInternal("gone"))
+	o.retain(func(string) bool { return false })
+	is.Equal(o.isInternal("gone"), false)
+	is.Equal(len(o.lastKnown)+len(o.byKind), 0)
 }
--- a/internal/local/repeat.go
+++ b/internal/local/repeat.go
@@ -7,11 +7,10 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
-// The node beside a target keeps the budget of repeats for all senders, since it
-// alone sees every attempt that reaches the target: a sender that has few requests
-// of its own repeats them from what others have left.
-
-// retryRule returns the rule as it is now; it changes with the members.
+// retryRule returns the current rule of the retry budget, which changes with the members
+// of the mesh. The node beside a target keeps the budget for all senders, because only
+// this node sees every attempt that reaches the target. A sender with few requests of
+// its own can retry them from what the others leave unused.
 func (s *Server) retryRule() budget.Rule {
 	if s.settings.RetryRule == nil {
 		return budget.Rule{}
@@ -19,35 +18,39 @@
 	return s.settings.RetryRule()
 }
 
-// requested counts an attempt that is the first of its call. The lock is held.
-func (s *Server) requested(now time.Time, request *relaypb.CarryRequest) {
-	if s.window == nil || request.Earlier != relaypb.Earlier_EARLIER_UNSPECIFIED {
+// countRequest counts an attempt towards the retry budget if it is the first of its call.
+// s.mu must be held.
+func (s *Server) countRequest(now time.Time, request *relaypb.CarryRequest) {
+	if s.retryWindow == nil || request.Earlier != relaypb.Earlier_EARLIER_UNSPECIFIED {
 		return
 	}
-	s.window.Request(now, s.origins.inner(request.Kind))
+	s.retryWindow.Request(now, s.origins.isInternal(request.Kind))
 }
 
-// mayRepeat says whether the budget has a repeat left for the attempt, if it is
-// one, so that none waits for a slot in vain.
-func (a *attempt) mayRepeat() bool {
-	return a.underBudget((*budget.Window).Allows)
+// retryAllowed reports whether the attempt is no retry or the budget has one left for it.
+// It is checked before queueing, so that no retry waits for a slot that it may not use.
+func (a *attempt) retryAllowed() bool {
+	return a.withinRetryBudget((*budget.Window).Allows)
 }
 
-// takeRepeat takes a repeat from the budget if the attempt is one. It is the last
-// step before the target: only what reaches it counts.
-func (a *attempt) takeRepeat() bool {
-	return a.underBudget((*budget.Window).TryRepeat)
+// takeRetry reports whether the attempt is no retry or could take one from the budget. It
+// is the last step before the target is called, because only retries that reach the
+// target count.
+func (a *attempt) takeRetry() bool {
+	return a.withinRetryBudget((*budget.Window).TryRepeat)
 }
 
-func (a *attempt) underBudget(has func(w *budget.Window, now time.Time, repeat budget.Repeat) bool) bool {
+// withinRetryBudget calls check for an attempt that is a retry, and returns true for any
+// other attempt.
+func (a *attempt) withinRetryBudget(check func(w *budget.Window, now time.Time, repeat budget.Repeat) bool) bool {
 	s := a.server
-	if s.window == nil || a.request.Earlier < relaypb.Earlier_EARLIER_SHED {
+	if s.retryWindow == nil || a.request.Earlier < relaypb.Earlier_EARLIER_SHED {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return has(s.window, s.settings.Clock.Now(), budget.Repeat{
+	return check(s.retryWindow, s.settings.Clock.Now(), budget.Repeat{
 		Ran:   a.request.Earlier == relaypb.Earlier_EARLIER_RAN,
-		Inner: s.origins.inner(a.request.Kind),
+		Inner: s.origins.isInternal(a.request.Kind),
 	})
 }
--- a/internal/local/repeat_test.go
+++ b/internal/local/repeat_test.go
@@ -17,8 +17,8 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// The node beside the target lets as many repeats through as the requests of all
-// senders allow, and a repeat too many does not reach the target.
+// The node beside the target admits as many retries as the requests of all senders allow,
+// and excess retries do not reach the target.
 func TestBudgetOfRepeatsIsKeptBesideTheTarget(t *testing.T) {
 	is := is.New(t)
 	var arrived atomic.Int32
@@ -26,7 +26,7 @@
 	t.Cleanup(target.Close)
 	kind := &schema.Kind{Name: "k", Service: "s", Method: http.MethodGet, Repeat: schema.Safe}
 	s := newServer(strings.TrimPrefix(target.URL, "http://"), kind, schema.DefaultLimits())
-	s.window = budget.NewWindow(budget.Rule{Share: 0.2, RunShare: 0.1, InnerPart: 1, Span: 10 * time.Second})
+	s.retryWindow = budget.NewWindow(budget.Rule{Share: 0.2, RunShare: 0.1, InnerPart: 1, Span: 10 * time.Second})
 	carry := func(earlier relaypb.Earlier, from string) result.Code {
 		attempt := newAttempt(kind)
 		attempt.Earlier = earlier
@@ -38,7 +38,7 @@
 		is.Equal(carry(relaypb.Earlier_EARLIER_UNSPECIFIED, "two"), result.OK)
 	}
 	reached := arrived.Load()
-	is.Equal(carry(relaypb.Earlier_EARLIER_UNSENT, "three"), result.OK) // nothing reached a target before
+	is.Equal(carry(relaypb.Earlier_EARLIER_UNSENT, "three"), result.OK) // the earlier attempt reached no target
 	is.Equal(carry(relaypb.Earlier_EARLIER_RAN, "three"), result.OK)
 	is.Equal(carry(relaypb.Earlier_EARLIER_RAN, "three"), result.BudgetSpent)
 	is.Equal(carry(relaypb.Earlier_EARLIER_SHED, "three"), result.OK)
--- a/internal/local/target.go
+++ b/internal/local/target.go
@@ -18,65 +18,66 @@
 )
 
 type (
-	// Target is the door to the target beside this node.
+	// Target is the client for the target beside this node.
 	Target struct {
 		address     string
 		connections int
 		client      atomic.Pointer[http1.Client]
 		held        *Held
-		// Wire is set before the first call.
+		// Wire must be set before the first call.
 		Wire Wire
 	}
 
-	// Wire is how a node and its target speak about a call. The zero value is
-	// the project's own way.
+	// Wire is the protocol by which a node and its target exchange metadata about a call.
+	// The zero value is the project's default protocol.
 	Wire struct {
-		// IDHeader is the header by which an answer names its request, and Hidden one
-		// of the caller's that the target is not shown.
+		// IDHeader is the answer header that names the request, and Hidden a header of
+		// the caller that is not passed to the target.
 		IDHeader string
 		Hidden   string
-		// Dress returns the headers that tell the target what it has to know of a
-		// call. They take the place of any of the caller's by the same name.
+		// Dress returns the headers that describe a call to the target. They replace the
+		// caller's headers of the same names. If it is nil, ContextHeader and
+		// TimeLeftHeader are set.
 		Dress func(about About) http1.Fields
-		// Judge says what the head of an answer tells of the call; nil takes the
-		// status for it.
+		// Judge classifies the head of an answer. If it is nil, the answer is classified
+		// by its status.
 		Judge func(requestID string, status int, header http1.Fields) Mark
 	}
 
-	// About is what a target has to know of a call.
+	// About describes a call to a target.
 	About struct {
 		RequestID string
-		// CallerService is the service whose host the request comes from.
+		// CallerService is the service from whose host the request comes.
 		CallerService string
-		// TargetID is the process of the target that the call is meant for.
+		// TargetID is the id of the target process to which the call is addressed.
 		TargetID string
-		// Left is the time left for the call.
+		// Left is the time until the deadline of the call.
 		Left time.Duration
 	}
 
-	// Mark is what the head of an answer tells of a call.
+	// Mark is what the head of an answer says about a call.
 	Mark uint8
 )
 
-// The marks.
+// The values of Mark.
 const (
 	// Answered means that the target answered the call.
 	Answered Mark = iota
-	// NotRun means that the target says that it did not run the call.
+	// NotRun means that the target reports that it did not run the call.
 	NotRun
-	// Moved means that another process than the one meant refused the call.
+	// Moved means that a process other than the addressed one rejected the call.
 	Moved
-	// Foreign means that the answer is not that of the call.
+	// Foreign means that the answer does not belong to the call.
 	Foreign
 )
 
-// Held bounds the memory for answers that are held until they are whole.
+// Held bounds the memory for answers that are buffered until they are complete.
 type Held struct {
 	bytes atomic.Int64
 	limit func() int64
 }
 
-// Reply is what came of a call to the target.
+// Reply is the result of a call to the target.
 type Reply struct {
 	Facts   fate.Facts
 	Status  int
@@ -85,87 +86,89 @@
 	Detail  string
 }
 
-// Headers by which a node and its target speak about a call.
+// Headers by which a node describes a call to its target, in the default protocol.
 const (
 	ContextHeader  = "Dandelion-Context"
 	TimeLeftHeader = "Dandelion-Time-Left"
 )
 
 const (
-	// targetDialTimeout bounds the opening of a connection, about 1 ms.
+	// targetDialTimeout bounds the opening of a connection, which normally takes about
+	// 1 ms.
 	targetDialTimeout = 500 * time.Millisecond
-	// targetIdleTimeout is shorter than what targets use, so that a connection
-	// is seldom closed by the target at the moment a call is written to it.
+	// targetIdleTimeout is shorter than the idle timeout of common targets, so that a
+	// target seldom closes a connection while a call is being written to it.
 	targetIdleTimeout = 5 * time.Second
-	// readChunkBytes is the step in which an answer's memory is taken.
+	// readChunkBytes is the step by which the buffer of an answer grows.
 	readChunkBytes = 32 << 10
 )
 
-var errHeldFull = errors.New("the bound on held answers is reached")
+var errHeldLimit = errors.New("the bound on held answers is reached")
 
-// NewTarget returns the door to the target at an address, with a bound on the
-// connections that it accepts.
+// NewTarget returns a client for the target at an address. It opens at most the given
+// number of connections.
 func NewTarget(address string, connections int, held *Held) *Target {
 	t := &Target{address: address, held: held}
 	t.SetConnections(connections)
 	return t
 }
 
-// SetConnections changes the bound on connections. Calls under way end on the
-// connections that they have.
+// SetConnections changes the maximum number of connections. Calls in flight continue on
+// their connections.
 func (t *Target) SetConnections(connections int) {
 	if connections == t.connections {
 		return
 	}
 	t.connections = connections
-	t.renew()
+	t.replaceClient()
 }
 
-// Restart lets go of the connections to a former process of the target.
+// Restart drops the connections to a former process of the target.
 func (t *Target) Restart(connections int) {
 	t.connections = connections
-	t.renew()
+	t.replaceClient()
 }
 
-func (t *Target) renew() {
+// replaceClient replaces the HTTP client and closes the idle connections of the old one.
+func (t *Target) replaceClient() {
 	former := t.client.Swap(http1.New(t.address, t.connections, targetIdleTimeout, dial.Dialer(targetDialTimeout).DialContext))
 	if former != nil {
 		former.Close()
 	}
 }
 
-// HeldBytes returns the memory of answers that are not whole yet.
+// HeldBytes returns the memory in bytes of answers that are not complete yet.
 func (t *Target) HeldBytes() int64 {
 	return t.held.Bytes()
 }
 
-// NewHeld returns a bound that is read anew at each use.
+// NewHeld returns a bound that calls limit at each use, because the limit may change.
 func NewHeld(limit func() int64) *Held {
 	return &Held{limit: limit}
 }
 
-// Bytes returns how much memory is held.
+// Bytes returns the memory in use in bytes.
 func (h *Held) Bytes() int64 {
 	return h.bytes.Load()
 }
 
-// Call sends one attempt and holds the answer until it is whole.
+// Call sends one attempt to the target and buffers the answer until it is complete.
 func (t *Target) Call(ctx context.Context, handle string, attempt *relaypb.CarryRequest, limits schema.Limits) *Reply {
 	reply := &Reply{}
-	call := t.client.Load().Do(ctx, t.request(ctx, handle, attempt))
+	call := t.client.Load().Do(ctx, t.buildRequest(ctx, handle, attempt))
 	defer call.Close()
-	// Once a byte may have reached the target, the call may run.
+	// Once a byte may have reached the target, the target may run the call.
 	reply.Facts.Sent = call.Sent
 	if call.Err != nil {
 		reply.Detail = call.Err.Error()
-		t.interrupted(ctx, reply)
+		t.noteInterruption(ctx, reply)
 		return reply
 	}
 	reply.Status = call.Answer.Status
 	reply.Facts.Status = call.Answer.Status
 	reply.Headers = packFields(call.Answer.Fields)
 	if t.Wire.Judge != nil {
-		t.judge(attempt, call, &reply.Facts)
+		t.classifyHead(attempt, call, &reply.Facts)
 	}
 	if reply.Facts.Foreign {
 		call.Discard()
@@ -176,22 +179,23 @@
 	return reply
 }
 
-// readBody takes the body whole, or says in the facts why it could not. Its length is -1
-// where that is not known.
-func (t *Target) readBody(ctx context.Context, reply *Reply, from io.Reader, length, most int64) {
-	if length >= 0 && length <= min(most, readChunkBytes) {
-		t.readAtOnce(ctx, reply, from, length)
+// readBody reads the complete body, or records in the facts why this failed. A length of
+// -1 means that it is not known.
+func (t *Target) readBody(ctx context.Context, reply *Reply, body io.Reader, length, maxBytes int64) {
+	if length >= 0 && length <= min(maxBytes, readChunkBytes) {
+		t.readSized(ctx, reply, body, length)
 		return
 	}
-	t.readInSteps(ctx, reply, from, most)
+	t.readInChunks(ctx, reply, body, maxBytes)
 }
 
-// readAtOnce takes a body of a known length. A buffer that grows with it takes nearly
-// three times the memory and is then copied, a tenth of all memory that calls took.
-func (t *Target) readAtOnce(ctx context.Context, reply *Reply, from io.Reader, length int64) {
+// readSized reads a body of a known length into one allocation. A growing buffer needs
+// nearly three times the memory and a final copy; it took a tenth of all memory that
+// calls allocated.
+func (t *Target) readSized(ctx context.Context, reply *Reply, from io.Reader, length int64) {
 	if t.held.bytes.Load() > t.held.limit() {
 		reply.Facts.TooLarge = true
-		reply.Detail = errHeldFull.Error()
+		reply.Detail = errHeldLimit.Error()
 		return
 	}
 	t.held.bytes.Add(length)
@@ -199,60 +203,61 @@
 	body := make([]byte, length)
 	if _, err := io.ReadFull(from, body); err != nil {
 		reply.Detail = err.Error()
-		t.interrupted(ctx, reply)
+		t.noteInterruption(ctx, reply)
 		return
 	}
 	reply.Facts.BodyWhole = true
 	reply.Body = body
 }
 
-// judge takes in what the head of an answer says.
-func (t *Target) judge(attempt *relaypb.CarryRequest, call *http1.Call, facts *fate.Facts) {
+// classifyHead records in the facts what the head of an answer says about the call.
+func (t *Target) classifyHead(attempt *relaypb.CarryRequest, call *http1.Call, facts *fate.Facts) {
 	facts.Marks = true
 	switch t.Wire.Judge(attempt.RequestId, call.Answer.Status, call.Answer.Fields) {
 	case NotRun:
 		facts.NotRun = true
-		call.Refused(t.Wire.named(attempt.RequestId, call.Answer.Fields))
+		call.Refused(t.Wire.namesRequest(attempt.RequestId, call.Answer.Fields))
 	case Moved:
 		facts.Moved = true
-		call.Refused(t.Wire.named(attempt.RequestId, call.Answer.Fields))
+		call.Refused(t.Wire.namesRequest(attempt.RequestId, call.Answer.Fields))
 	case Foreign:
 		facts.Foreign = true
 	case Answered:
 	}
 }
 
-// named says whether an answer says which request it speaks of.
-func (w Wire) named(requestID string, header http1.Fields) bool {
+// namesRequest reports whether an answer carries the id of the request.
+func (w Wire) namesRequest(requestID string, header http1.Fields) bool {
 	return w.IDHeader != "" && header.Get(w.IDHeader) == requestID
 }
 
-// readInSteps takes a body of unknown length, or a long one, as far as it comes.
-func (t *Target) readInSteps(ctx context.Context, reply *Reply, body io.Reader, most int64) {
+// readInChunks reads a body that is long or of unknown length into a growing buffer.
+func (t *Target) readInChunks(ctx context.Context, reply *Reply, body io.Reader, maxBytes int64) {
 	var buffer bytes.Buffer
 	defer func() { t.held.bytes.Add(-int64(buffer.Cap())) }()
 	for {
 		before := int64(buffer.Cap())
 		if t.held.bytes.Load() > t.held.limit() {
 			reply.Facts.TooLarge = true
-			reply.Detail = errHeldFull.Error()
+			reply.Detail = errHeldLimit.Error()
 			return
 		}
 		n, err := io.CopyN(&buffer, body, readChunkBytes)
 		t.held.bytes.Add(int64(buffer.Cap()) - before)
-		if int64(buffer.Len()) > most {
+		if int64(buffer.Len()) > maxBytes {
 			reply.Facts.TooLarge = true
 			return
 		}
 		if errors.Is(err, io.EOF) {
 			reply.Facts.BodyWhole = true
-			// The answer is kept for a while, without the buffer's spare room.
+			// The answer is stored for a while, so it must not retain the spare
+			// capacity of the buffer.
 			reply.Body = bytes.Clone(buffer.Bytes())
 			return
 		}
 		if err != nil {
 			reply.Detail = err.Error()
-			t.interrupted(ctx, reply)
+			t.noteInterruption(ctx, reply)
 			return
 		}
 		if n == 0 {
@@ -261,8 +266,9 @@
 	}
 }
 
-// interrupted says whether the call ended because its time or its caller did.
-func (t *Target) interrupted(ctx context.Context, reply *Reply) {
+// noteInterruption records in the facts whether the call ended because its deadline
+// passed or it was cancelled.
+func (t *Target) noteInterruption(ctx context.Context, reply *Reply) {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		reply.Facts.TimedOut = true
@@ -271,7 +277,9 @@
 	}
 }
 
-func (t *Target) request(ctx context.Context, handle string, attempt *relaypb.CarryRequest) *http1.Request {
+// buildRequest returns the HTTP request for an attempt. The headers of the node replace
+// those of the caller with the same names.
+func (t *Target) buildRequest(ctx context.Context, handle string, attempt *relaypb.CarryRequest) *http1.Request {
 	request := &http1.Request{
 		Method: attempt.Method,
 		Target: attempt.Path,
@@ -282,19 +290,19 @@
 	if request.Host == "" {
 		request.Host = t.address
 	}
-	own := t.ownHeaders(ctx, handle, attempt)
-	request.Fields = make(http1.Fields, 0, len(attempt.Headers)+len(own))
+	nodeHeaders := t.nodeHeaders(ctx, handle, attempt)
+	request.Fields = make(http1.Fields, 0, len(attempt.Headers)+len(nodeHeaders))
 	for _, header := range attempt.Headers {
-		if !own.Has(header.Name) && header.Name != t.Wire.Hidden {
+		if !nodeHeaders.Has(header.Name) && header.Name != t.Wire.Hidden {
 			request.Fields = append(request.Fields, http1.Field{Name: header.Name, Value: header.Value})
 		}
 	}
-	request.Fields = append(request.Fields, own...)
+	request.Fields = append(request.Fields, nodeHeaders...)
 	return request
 }
 
-// ownHeaders are those by which the node speaks to its target about a call.
-func (t *Target) ownHeaders(ctx context.Context, handle string, attempt *relaypb.CarryRequest) http1.Fields {
+// nodeHeaders returns the headers by which the node describes a call to its target.
+func (t *Target) nodeHeaders(ctx context.Context, handle string, attempt *relaypb.CarryRequest) http1.Fields {
 	left := time.Duration(0)
 	if deadline, ok := ctx.Deadline(); ok {
 		left = time.Until(deadline)
--- a/internal/local/target_test.go
+++ b/internal/local/target_test.go
@@ -12,8 +12,8 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
-// A body of a known length takes its own memory and little more: a surge is carried
-// with the memory and the collector's time that calls leave.
+// A body of known length needs little more memory than its own size. Memory and garbage
+// collection per call limit the load that a node can carry in a surge.
 func TestBodyOfKnownLengthTakesItsOwnMemory(t *testing.T) {
 	is := is.New(t)
 	const (
@@ -23,16 +23,16 @@
 	)
 	whole := bytes.Repeat([]byte("x"), bytesOfBody)
 	target := NewTarget("127.0.0.1:1", 1, NewHeld(func() int64 { return 1 << 20 }))
-	take := func() *Reply {
+	read := func() *Reply {
 		reply := &Reply{}
 		target.readBody(context.Background(), reply, bytes.NewReader(whole), bytesOfBody, 1<<20)
 		return reply
 	}
-	is.True(bytes.Equal(take().Body, whole))
+	is.True(bytes.Equal(read().Body, whole))
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range runs {
-		is.True(take().Facts.BodyWhole)
+		is.True(read().Facts.BodyWhole)
 	}
 	runtime.ReadMemStats(&after)
 	each := (after.TotalAlloc - before.TotalAlloc) / runs
@@ -40,7 +40,7 @@
 	is.Equal(target.HeldBytes(), int64(0))
 }
 
-// A body that ends before its announced length is not whole.
+// A body that ends before its announced length is not complete.
 func TestShortBodyIsNotWhole(t *testing.T) {
 	is := is.New(t)
 	target := NewTarget("127.0.0.1:1", 1, NewHeld(func() int64 { return 1 << 20 }))
@@ -51,8 +51,8 @@
 	is.Equal(target.HeldBytes(), int64(0))
 }
 
-// What a node tells its target takes the place of what a caller wrote under the same
-// name, and a header that is the node's own business does not go on.
+// The headers that a node sets replace the caller's headers of the same name, and the
+// hidden header is not forwarded.
 func TestTargetSeesTheNodesOwnHeadersOnly(t *testing.T) {
 	is := is.New(t)
 	target := NewTarget("127.0.0.1:1", 1, NewHeld(func() int64 { return 1 << 20 }))
@@ -60,7 +60,7 @@
 		Hidden: "Dandelion-Deadline",
 		Dress:  func(about About) http1.Fields { return http1.Fields{{Name: "Target", Value: about.TargetID}} },
 	}
-	request := target.request(context.Background(), "", &relaypb.CarryRequest{
+	request := target.buildRequest(context.Background(), "", &relaypb.CarryRequest{
 		Method: "GET", Path: "/a?b=c", Incarnation: "node/i-1",
 		Headers: []*relaypb.Header{{Name: "target", Value: "forged"}, {Name: "Dandelion-Deadline", Value: "1s"}, {Name: "X", Value: "kept"}},
 	})
--- a/internal/local/watch.go
+++ b/internal/local/watch.go
@@ -11,51 +11,51 @@
 	"github.com/dandelionfield/dandelionfield/internal/metric"
 )
 
-// watch tells when the node itself, and not its target, is short of something: of
-// processor time, or of room for records of attempts. Only Run uses it.
-type watch struct {
+// selfMonitor detects when the node itself, rather than its target, lacks CPU time or
+// memory for attempt records. It is used by the goroutine of Run only.
+type selfMonitor struct {
 	metrics *metric.Set
 	log     hclog.Logger
-	// latest is how late the latest timer of this second was.
-	latest time.Duration
-	behind bool
-	// refused is how many attempts found no room up to the last look.
+	// maxLate is the largest delay of a timer since the last check.
+	maxLate time.Duration
+	behind  bool
+	// refused is the count of attempts rejected for lack of memory, as of the last check.
 	refused int64
 	full    bool
-	// used is what the process had used at the last report, and reported when that was.
-	used     usage
-	reported time.Time
+	// lastUsage is the usage at the last report, and lastReport the time of that report.
+	lastUsage  usage
+	lastReport time.Time
 }
 
-// usage is the processor time that the process has used and what for.
+// usage is the CPU time that the process has used so far, and the work done with it.
 type usage struct {
-	processor time.Duration
-	// collector is the part of the garbage collector.
-	collector time.Duration
-	// attempts is how many were carried to the target, and requests how many were taken
-	// from callers and from the target.
+	cpu time.Duration
+	// gc is the share of the garbage collector in cpu.
+	gc time.Duration
+	// attempts counts the attempts received for the target, and requests the requests
+	// received from callers and from the target.
 	attempts int64
 	requests int64
 }
 
 const (
-	// usageEvery is the time between two reports of what the process uses.
-	usageEvery = 10 * time.Second
+	// usagePeriod is the time between two usage reports.
+	usagePeriod = 10 * time.Second
 
-	collectorMetric = "/cpu/classes/gc/total:cpu-seconds"
+	gcCPUMetric = "/cpu/classes/gc/total:cpu-seconds"
 )
 
-// behindAfter is how late a timer is on a node that lacks processor time.
-const behindAfter = 100 * time.Millisecond
+// lateThreshold is the timer delay above which the node counts as short of CPU time.
+const lateThreshold = 100 * time.Millisecond
 
-// timer takes in how late a timer fired.
-func (w *watch) timer(late time.Duration) {
+// observeTimer records by how much a timer fired late.
+func (w *selfMonitor) observeTimer(late time.Duration) {
 	w.metrics.TimerLate.Observe(max(late, 0).Seconds())
-	w.latest = max(w.latest, late)
+	w.maxLate = max(w.maxLate, late)
 }
 
-// look is called once a second, and logs what has changed.
-func (w *watch) look(book fate.Stats, maxBytes int64) {
+// check logs each start and end of a shortage. It is called once a second.
+func (w *selfMonitor) check(book fate.Stats, maxBytes int64) {
 	w.metrics.BookUse.Set(float64(book.Bytes) / float64(max(maxBytes, 1)))
 	refused := book.Refused - w.refused
 	w.refused = book.Refused
@@ -64,36 +64,36 @@
 		w.log.Warn("attempt_records_full", "full", full, "refused", refused,
 			"entries", book.Entries, "running", book.Running, "bytes", book.Bytes, "max_bytes", maxBytes)
 	}
-	if behind := w.latest > behindAfter; behind != w.behind {
+	if behind := w.maxLate > lateThreshold; behind != w.behind {
 		w.behind = behind
-		w.log.Warn("node_behind", "behind", behind, "late_ms", w.latest.Milliseconds())
+		w.log.Warn("node_behind", "behind", behind, "late_ms", w.maxLate.Milliseconds())
 	}
-	w.latest = 0
+	w.maxLate = 0
 }
 
-// report logs, every usageEvery, what the process has used since the last report, so
-// that the cost of calls can be told from that of the time that passes.
-func (w *watch) report(now time.Time, attempts, requests int64) {
-	if !w.reported.IsZero() && now.Sub(w.reported) < usageEvery {
+// reportUsage logs every usagePeriod what the process has used since the last report,
+// together with the work done, so that the cost per call can be told from the idle cost.
+func (w *selfMonitor) reportUsage(now time.Time, attempts, requests int64) {
+	if !w.lastReport.IsZero() && now.Sub(w.lastReport) < usagePeriod {
 		return
 	}
-	used := usage{processor: processorTime(), collector: collectorTime(), attempts: attempts, requests: requests}
-	if !w.reported.IsZero() {
+	used := usage{cpu: cpuTime(), gc: gcTime(), attempts: attempts, requests: requests}
+	if !w.lastReport.IsZero() {
 		w.log.Info("node_usage",
-			"period_ms", now.Sub(w.reported).Milliseconds(),
-			"processor_ms", (used.processor - w.used.processor).Milliseconds(),
-			"collector_ms", (used.collector - w.used.collector).Milliseconds(),
-			"attempts", attempts-w.used.attempts,
-			"requests", requests-w.used.requests,
+			"period_ms", now.Sub(w.lastReport).Milliseconds(),
+			"processor_ms", (used.cpu - w.lastUsage.cpu).Milliseconds(),
+			"collector_ms", (used.gc - w.lastUsage.gc).Milliseconds(),
+			"attempts", attempts-w.lastUsage.attempts,
+			"requests", requests-w.lastUsage.requests,
 		)
 	}
-	w.used = used
-	w.reported = now
+	w.lastUsage = used
+	w.lastReport = now
 }
 
-// processorTime returns the processor time of this process, 0 where the system does
-// not tell it.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that this process has used, or 0 if the system does not
+// report it.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
@@ -101,10 +101,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// collectorTime returns the processor time of the garbage collector as the runtime
-// estimates it.
-func collectorTime() time.Duration {
-	samples := []metrics.Sample{{Name: collectorMetric}}
+// gcTime returns the CPU time that the garbage collector has used, as estimated by the
+// runtime.
+func gcTime() time.Duration {
+	samples := []metrics.Sample{{Name: gcCPUMetric}}
 	metrics.Read(samples)
 	return time.Duration(samples[0].Value.Float64() * float64(time.Second))
 }
--- a/internal/local/watch_test.go
+++ b/internal/local/watch_test.go
@@ -12,40 +12,40 @@
 	"github.com/dandelionfield/dandelionfield/internal/metric"
 )
 
-// A node that is short of processor time or of room for records says so when it
-// begins and when it ends, not each second.
+// A node that is short of CPU time or of memory for attempt records logs the start and the
+// end of the shortage, not every second of it.
 func TestShortageIsLoggedOnceEachWay(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
-	w := &watch{metrics: metric.New(), log: hclog.New(&hclog.LoggerOptions{Output: &out})}
+	w := &selfMonitor{metrics: metric.New(), log: hclog.New(&hclog.LoggerOptions{Output: &out})}
 	lines := func() int { return strings.Count(out.String(), "\n") }
-	w.timer(time.Millisecond)
-	w.look(fate.Stats{}, 100)
+	w.observeTimer(time.Millisecond)
+	w.check(fate.Stats{}, 100)
 	is.Equal(lines(), 0)
 	for second := range 3 {
-		w.timer(200 * time.Millisecond)
-		w.look(fate.Stats{Refused: int64(second + 1), Bytes: 100}, 100)
+		w.observeTimer(200 * time.Millisecond)
+		w.check(fate.Stats{Refused: int64(second + 1), Bytes: 100}, 100)
 	}
 	is.Equal(lines(), 2)
 	is.True(strings.Contains(out.String(), "attempt_records_full: full=true refused=1"))
 	is.True(strings.Contains(out.String(), "node_behind: behind=true late_ms=200"))
-	w.look(fate.Stats{Refused: 3}, 100)
+	w.check(fate.Stats{Refused: 3}, 100)
 	is.Equal(lines(), 4)
 	is.True(strings.Contains(out.String(), "attempt_records_full: full=false"))
 	is.True(strings.Contains(out.String(), "node_behind: behind=false"))
 }
 
-// The cost of calls can be told from that of the time that passes, and the part of the
-// collector from the rest.
+// The usage log is written once per period, with the work done in it, so that the cost of
+// calls can be told from the idle cost.
 func TestUsageIsLoggedOncePerPeriod(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
-	w := &watch{metrics: metric.New(), log: hclog.New(&hclog.LoggerOptions{Output: &out})}
-	began := time.Unix(1_800_000_000, 0)
-	w.report(began, 5, 7)
-	is.Equal(out.String(), "") // nothing to compare with yet
+	w := &selfMonitor{metrics: metric.New(), log: hclog.New(&hclog.LoggerOptions{Output: &out})}
+	start := time.Unix(1_800_000_000, 0)
+	w.reportUsage(start, 5, 7)
+	is.Equal(out.String(), "") // there is no earlier report to compare with
 	for second := range 20 {
-		w.report(began.Add(time.Duration(second+1)*time.Second), 5+int64(second), 7+2*int64(second))
+		w.reportUsage(start.Add(time.Duration(second+1)*time.Second), 5+int64(second), 7+2*int64(second))
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	is.Equal(len(lines), 2)
