--- a/internal/filter/door_test.go
+++ b/internal/filter/door_test.go
@@ -79,18 +79,18 @@
 deadline: 2s
 `
 
-// doorCase is one request while the floor of lots lets only high importance in.
-type doorCase struct {
+// admissionCase is one request while the floor of lots admits only high importance.
+type admissionCase struct {
 	name, method, path string
-	// handle is that of the call that the request belongs to, if any.
+	// handle is the context handle of the call that the request belongs to, if any.
 	handle string
 	want   result.Code
 	detail string
 }
 
-// The door refuses a request that would be refused three calls deep, and nothing
-// else: neither what does not go there, nor what is important enough, nor the
-// calls of a request for which work has been done.
+// A request that the third service of its chain would reject is rejected at the entry.
+// Requests that do not reach that service, more important requests, and calls of a request
+// in flight, for which work has already been done, are admitted.
 func TestDoorHeedsTheFloorsOfTheWholeChain(t *testing.T) {
 	set, err := schema.Parse("declarations", []byte(chainKinds))
 	if err != nil {
@@ -99,32 +99,32 @@
 	now := time.Unix(1_800_000_000, 0)
 	door := admit.NewDoor()
 	door.Learn(now, "lots", "node-lots-1", admit.Order(schema.High, 0), 0)
-	for _, one := range []doorCase{
+	for _, tc := range []admissionCase{
 		{"two calls above the full service", http.MethodPost, "/rounds", "", result.DoorClosed, "lots"},
 		{"one call above it", http.MethodGet, "/stock", "", result.DoorClosed, "lots"},
 		{"of the same service, but without calls", http.MethodGet, "/rounds", "", result.OK, ""},
 		{"more important", http.MethodPost, "/feasts", "", result.OK, ""},
 		{"part of a request under way", http.MethodGet, "/stock", "known", result.OK, ""},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			answer := passDoor(set, door, now, one)
-			is.Equal(answer.Code, one.want)
-			is.Equal(answer.Detail, one.detail) // the service that would refuse
+			answer := runAdmissionCase(set, door, now, tc)
+			is.Equal(answer.Code, tc.want)
+			is.Equal(answer.Detail, tc.detail) // the service that would reject the request
 		})
 	}
 }
 
-func passDoor(set *schema.Set, door *admit.Door, now time.Time, one doorCase) *call.Answer {
-	inward := newPlain(now, func() *Rules { return rulesOf(set) })
+func runAdmissionCase(set *schema.Set, door *admit.Door, now time.Time, tc admissionCase) *call.Answer {
+	inward := newTestFilters(now, func() *Rules { return rulesOf(set) })
 	inward.Serving = func(handle string) (*call.Serving, bool) {
 		return &call.Serving{Deadline: now.Add(time.Second), Tokens: call.NewTokens(0)}, handle == "known"
 	}
 	inward.Allows = func(services []string, order uint32) (string, bool) {
 		return door.Allows(now, services, order)
 	}
-	request := httptest.NewRequest(one.method, one.path, nil)
-	request.Header.Set(local.ContextHeader, one.handle)
+	request := httptest.NewRequest(tc.method, tc.path, nil)
+	request.Header.Set(local.ContextHeader, tc.handle)
 	chain := Chain(inward.Filters(), func(context.Context, *Exchange) *call.Answer {
 		return &call.Answer{Code: result.OK}
 	})
--- a/internal/filter/filter_test.go
+++ b/internal/filter/filter_test.go
@@ -19,8 +19,8 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// fixed is a clock that stands still.
-type fixed struct {
+// fixedClock always returns the same time.
+type fixedClock struct {
 	now time.Time
 }
 
@@ -54,17 +54,17 @@
 max_request_bytes: 8B
 `
 
-func (f fixed) Now() time.Time {
+func (f fixedClock) Now() time.Time {
 	return f.now
 }
 
-func (f fixed) After(time.Duration) <-chan time.Time {
+func (f fixedClock) After(time.Duration) <-chan time.Time {
 	return nil
 }
 
-// TestInward sends requests through the chain and states the result and what
-// the call that leaves the chain carries. The one call under way has the handle
-// "known", and belongs to a critical request with 0.5 s and 2 tokens left.
+// TestInward sends requests through the chain and prints the result and the call that
+// leaves the chain. One call is in flight: it has the handle "known" and belongs to a
+// critical request with 0.5 s and 2 retry tokens left.
 func TestInward(t *testing.T) {
 	datadriven.RunTest(t, "testdata/inward", func(t *testing.T, d *datadriven.TestData) string {
 		now := time.Unix(1_800_000_000, 0)
@@ -105,7 +105,7 @@
 	if d.HasArg("no_rules") {
 		rules = nil
 	}
-	inward := newPlain(now, func() *Rules { return rules })
+	inward := newTestFilters(now, func() *Rules { return rules })
 	inward.Serving = func(handle string) (*call.Serving, bool) {
 		if handle == "known" {
 			return parent, true
@@ -119,10 +119,11 @@
 	return inward
 }
 
-// newPlain returns filters with the rules, no call under way and an open door.
-func newPlain(now time.Time, rules func() *Rules) *Inward {
+// newTestFilters returns filters with the given rules and no call in flight, which admit
+// all requests.
+func newTestFilters(now time.Time, rules func() *Rules) *Inward {
 	return &Inward{
-		Clock:   fixed{now},
+		Clock:   fixedClock{now},
 		Metrics: metric.New(),
 		Log:     hclog.NewNullLogger(),
 		Rules:   rules,
@@ -131,13 +132,13 @@
 	}
 }
 
-// rulesOf returns the rules that follow from declarations.
+// rulesOf returns the rules compiled from declarations.
 func rulesOf(set *schema.Set) *Rules {
 	matcher := schema.NewMatcher(set)
 	return &Rules{Revision: 1, Limits: set.Limits, Match: matcher.Match, Chain: set.Chain}
 }
 
-// readRequest reads a method and a path, then headers, then the body.
+// readRequest parses a method and a path, then headers, then a body.
 func readRequest(d *datadriven.TestData) *http.Request {
 	lines := strings.Split(d.Input, "\n")
 	method, path, _ := strings.Cut(lines[0], " ")
--- a/internal/filter/inward.go
+++ b/internal/filter/inward.go
@@ -23,57 +23,64 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// Rules are the declarations in force, compiled for use on requests.
+// Rules holds the declarations in force, prepared for matching requests.
 type Rules struct {
 	Revision int64
 	Limits   schema.Limits
-	Match    func(method, path string) (*schema.Kind, bool)
-	// Prefix finds the kind by the host and the start of the path as it was
-	// sent; may be nil.
+	// Match finds the kind by the method and the path.
+	Match func(method, path string) (*schema.Kind, bool)
+	// Prefix finds the kind by the host and a prefix of the path as it was sent. It may
+	// be nil.
 	Prefix func(host, path string) (*schema.Kind, bool)
-	// Part returns the part of a split kind that the next request goes to; may be nil.
+	// Part returns the part of a split kind to which the next request belongs. It may be
+	// nil.
 	Part func(kind *schema.Kind) *schema.Kind
-	// Chain returns the services that a kind is known to call, its own first.
+	// Chain returns the services that a request of a kind is known to reach, its own
+	// first.
 	Chain func(kind string) []string
 }
 
-// Inward makes the filters of a node.
+// Inward holds the dependencies of a node's filters.
 type Inward struct {
 	Clock   clock.Clock
 	Metrics *metric.Set
 	Log     hclog.Logger
-	// Rules returns the rules in force, nil before there are any.
+	// Rules returns the rules in force, or nil if there are none.
 	Rules func() *Rules
-	// Leaving says whether there are none because the node leaves; nil stands for no.
+	// Leaving reports whether there are no rules because the node is leaving. A nil
+	// function means no.
 	Leaving func() bool
-	// Fits says whether a request with a deadline ends before a planned stop does; nil
-	// stands for yes.
+	// Fits reports whether a request with the given deadline ends in time for a planned
+	// stop of the node. A nil function means yes.
 	Fits func(deadline time.Time) bool
-	// Serving finds the attempt that a context handle stands for.
+	// Serving finds the attempt in flight at the target that a context handle names.
 	Serving func(handle string) (*call.Serving, bool)
-	// TargetHost is the IP number from which context handles are accepted.
+	// TargetHost is the IP address from which context handles are accepted.
 	TargetHost string
-	// Allows asks the door about all services of a chain; nil lets all pass.
+	// Allows reports whether all services of a chain accept requests of the given order,
+	// and otherwise names one that does not. If it is nil, all requests pass.
 	Allows func(services []string, order uint32) (string, bool)
-	// Failures bounds the lines about requests that did not end well; nil for none.
+	// Failures limits the rate of log lines about requests that were not completed. If it
+	// is nil, none are logged.
 	Failures *trail.Limiter
-	// Admits says whether a new request of a kind is let in, and which share of
-	// them is; Ended is told how one that was let in ended. Nil lets all in.
+	// Admits decides whether a new request of a kind is admitted, and returns the share
+	// of such requests that is. Ended receives the result of each admitted request. If
+	// Admits is nil, all requests are admitted.
 	Admits func(kind *schema.Kind) (share float64, ok bool)
 	Ended  func(kind *schema.Kind, code result.Code)
 }
 
-// Headers of callers' requests and of the answers to them.
+// Headers of callers' requests and of the answers to callers.
 const (
 	KeyHeader = "Idempotency-Key"
-	// FreshHeader says that the caller never sent the key before.
+	// FreshHeader is "true" if the caller never sent the key before.
 	FreshHeader    = "Dandelion-Key-Fresh"
 	DeadlineHeader = "Dandelion-Deadline"
 	CodeHeader     = "Dandelion-Code"
 	ResultHeader   = "Dandelion-Result"
 	RequestHeader  = "Dandelion-Request"
-	// RefusalHeader names why a sending was refused, where the code is that of a
-	// refused repeat.
+	// RefusalHeader names the reason for which a repeated request was rejected, if the
+	// code is result.RepeatRefused.
 	RefusalHeader = "Dandelion-Refusal"
 )
 
@@ -81,12 +88,12 @@
 func (f *Inward) Filters() []Filter {
 	return []Filter{
 		{Name: "record", Run: f.record},
-		{Name: "repeated", Run: repeated},
+		{Name: "repeated", Run: guardRepeats},
 		{Name: "classify", Run: f.classify},
 		{Name: "inherit", Run: f.inherit},
 		{Name: "key", Run: f.key},
 		{Name: "body", Run: f.body},
-		{Name: "door", Run: f.door},
+		{Name: "door", Run: f.checkAdmission},
 	}
 }
 
@@ -101,7 +108,7 @@
 	took := f.Clock.Now().Sub(began)
 	f.Metrics.Requests.WithLabelValues(kind, answer.Code.String()).Inc()
 	f.Metrics.RequestSeconds.WithLabelValues(kind).Observe(took.Seconds())
-	f.noteFailure(exchange.Call, kind, answer, took)
+	f.logFailure(exchange.Call, kind, answer, took)
 	if !f.Log.IsDebug() {
 		return answer
 	}
@@ -117,10 +124,10 @@
 	return answer
 }
 
-// noteFailure logs a request that did not end well, or took more than one attempt,
-// with what decided it. Of each result only so many lines a second go out; the
-// next one says how many were left out.
-func (f *Inward) noteFailure(c *call.Call, kind string, answer *call.Answer, took time.Duration) {
+// logFailure logs a request that was not completed or took more than one attempt, with
+// the state that led to its result. The lines per second are limited for each result, and
+// the next line tells how many were left out.
+func (f *Inward) logFailure(c *call.Call, kind string, answer *call.Answer, took time.Duration) {
 	if f.Failures == nil || answer.Code == result.OK && len(c.Steps) < 2 {
 		return
 	}
@@ -142,7 +149,7 @@
 	)
 }
 
-// describeSteps names each attempt with its target, result and time.
+// describeSteps lists the attempts with the target, result and duration of each.
 func describeSteps(steps []call.Step) string {
 	texts := make([]string, len(steps))
 	for i, step := range steps {
@@ -155,10 +162,11 @@
 	return strings.Join(texts, ",")
 }
 
-// repeated keeps "not run" from requests that may have run. A refusal speaks of
-// the sending that it answers; where the key may have been sent before, an
-// earlier sending may have run, or be under way still.
-func repeated(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
+// guardRepeats ensures that no request that may have run is answered with "not run". A
+// rejection applies only to the transmission that it answers. If the caller may have sent
+// the key before, an earlier transmission may have run or may still be in flight, so the
+// answer is result.RepeatRefused.
+func guardRepeats(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	header := exchange.Request.Header
 	mayHaveRun := header.Get(KeyHeader) != "" && header.Get(FreshHeader) != "true"
 	answer := next(ctx, exchange)
@@ -170,7 +178,7 @@
 	return answer
 }
 
-// classify finds the declared kind and fixes the deadline.
+// classify determines the declared kind and the deadline.
 func (f *Inward) classify(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	rules := f.Rules()
 	switch {
@@ -192,7 +200,7 @@
 		return call.Refuse(result.BadRequest, DeadlineHeader+": "+err.Error())
 	}
 	if f.Fits != nil && !f.Fits(deadline) {
-		return call.Refuse(result.Leaving, "it may take longer than the planned stop")
+		return call.Refuse(result.Leaving, "deadline is after the planned stop of the node")
 	}
 	c := exchange.Call
 	c.Kind = kind
@@ -207,22 +215,22 @@
 	return next(ctx, exchange)
 }
 
-// deadline is the declared one, or the caller's where that is shorter.
+// deadline returns the declared deadline, or the caller's if that is earlier.
 func (f *Inward) deadline(request *http.Request, kind *schema.Kind) (time.Time, error) {
 	left := kind.Deadline
 	if text := request.Header.Get(DeadlineHeader); text != "" {
-		wanted, err := time.ParseDuration(text)
+		requested, err := time.ParseDuration(text)
 		if err != nil {
 			return time.Time{}, err
 		}
-		left = min(left, wanted)
+		left = min(left, requested)
 	}
 	return f.Clock.Now().Add(left), nil
 }
 
-// inherit gives a target's own call the importance, the deadline and the
-// tokens of the call that the target serves. A handle counts only when it
-// comes from the target's host; otherwise the call is a new request.
+// inherit lets a call made by the target inherit the importance, position, deadline and
+// retry tokens of the call that the target serves. A handle is accepted only from the
+// target's host; without a valid handle the call is a new request.
 func (f *Inward) inherit(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	c := exchange.Call
 	handle := exchange.Request.Header.Get(local.ContextHeader)
@@ -249,9 +257,9 @@
 	return answer
 }
 
-// positionSeed is what a new request's place in the order of refusal follows
-// from: its idempotency key, so that a repeat neither draws a better place nor
-// is refused while its first sending runs, or else the request's own id.
+// positionSeed returns the text from which a new request's place in the shedding order is
+// derived. This is its idempotency key, so that a repeat neither gets a better place nor
+// is rejected while its first transmission runs, or without a key the id of the request.
 func (f *Inward) positionSeed(exchange *Exchange) string {
 	if key := exchange.Request.Header.Get(KeyHeader); key != "" {
 		return key
@@ -259,9 +267,10 @@
 	return exchange.Call.RequestID
 }
 
-// key checks the idempotency key of a kind that never repeats. That a key is
-// fresh is not passed on: a target that copies its headers to the calls that it
-// makes would claim it for theirs, also when it is called a second time.
+// key takes over the idempotency key, and validates it for kinds that must not be
+// retried. It removes FreshHeader: a target that copies its request headers to the calls
+// that it makes would otherwise claim that their keys are fresh, even when the target is
+// called a second time.
 func (f *Inward) key(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	header := exchange.Request.Header
 	fresh := header.Get(FreshHeader) == "true"
@@ -282,13 +291,13 @@
 	return next(ctx, exchange)
 }
 
-// body takes the request's body whole, within the declared size.
+// body reads the complete body of the request, up to the declared size.
 func (f *Inward) body(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	if exchange.Request.ContentLength == 0 {
 		return next(ctx, exchange)
 	}
-	most := exchange.Call.Limits.MaxRequestBytes
-	body, err := io.ReadAll(http.MaxBytesReader(nil, exchange.Request.Body, most))
+	maxBytes := exchange.Call.Limits.MaxRequestBytes
+	body, err := io.ReadAll(http.MaxBytesReader(nil, exchange.Request.Body, maxBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -300,12 +309,13 @@
 	return next(ctx, exchange)
 }
 
-// door refuses a new request that a service of its chain would refuse later,
-// before any work is done for it. A call of a request that is under way is not
-// refused here: work has been done for it, and the target's node decides.
-func (f *Inward) door(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
+// checkAdmission rejects a new request that a service of its chain would reject later,
+// before any work is done for it. A call made on behalf of a request in flight is not
+// rejected here, because work has already been done for that request; the node of the
+// called target decides.
+func (f *Inward) checkAdmission(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	c := exchange.Call
-	share, ok := f.admits(c)
+	share, ok := f.throttle(c)
 	c.Admitted = share
 	if !ok {
 		f.Metrics.Refusals.WithLabelValues(c.Kind.Service, metric.Throttled).Inc()
@@ -330,8 +340,8 @@
 	return answer
 }
 
-// admits asks the throttle about a new request.
-func (f *Inward) admits(c *call.Call) (share float64, ok bool) {
+// throttle asks Admits about a new request. A call made on behalf of another always passes.
+func (f *Inward) throttle(c *call.Call) (share float64, ok bool) {
 	if f.Admits == nil || c.Parent != nil {
 		return 1, true
 	}
--- a/internal/filter/path.go
+++ b/internal/filter/path.go
@@ -8,37 +8,37 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// slashes keeps encoded slashes as they are when a path is decoded.
-var slashes = strings.NewReplacer("%2F", "%252F", "%2f", "%252f")
+// slashEscaper encodes encoded slashes once more, so that they survive decoding.
+var slashEscaper = strings.NewReplacer("%2F", "%252F", "%2f", "%252f")
 
-// kindOf finds the kind of a request, if every way to read its path leads to the
-// same one. Targets differ in when they decode, and the path goes on to them as
-// it came: a request that the node takes for another kind than the target would
-// escape its importance or run again where it may not.
+// kindOf returns the kind of a request if all interpretations of its path lead to the
+// same kind. Targets differ in when they decode a path, and it is forwarded to them
+// unchanged. If the node and the target disagreed about the kind, a request could evade
+// its importance, or be retried although its kind must not be.
 //
-//	/orders/7%2Fnotes   decoded /orders/7/notes, for many targets /orders/{order}
-//	/ord%65rs/7         decoded /orders/7, for a target that never decodes not
-//	/orders/caf%C3%A9   /orders/{order} for all of them
+//	/orders/7%2Fnotes   /orders/7/notes when decoded, but /orders/{order} for many targets
+//	/ord%65rs/7         /orders/7 when decoded, but not for a target that never decodes
+//	/orders/caf%C3%A9   /orders/{order} for all targets
 //
-// A prefix is compared with the path as it was sent, which a target sees too.
+// A prefix is compared with the path as it was sent, which is what the target receives.
 func kindOf(rules *Rules, request *http.Request) (*schema.Kind, bool) {
-	method, address := request.Method, request.URL
+	method, requestURL := request.Method, request.URL
 	if rules.Prefix != nil {
-		if kind, ok := rules.Prefix(request.Host, address.EscapedPath()); ok {
+		if kind, ok := rules.Prefix(request.Host, requestURL.EscapedPath()); ok {
 			return kind, true
 		}
 	}
-	kind, ok := rules.Match(method, address.Path)
+	kind, ok := rules.Match(method, requestURL.Path)
 	if !ok {
 		return nil, false
 	}
-	escaped := address.EscapedPath()
-	segments, err := url.PathUnescape(slashes.Replace(escaped))
+	escaped := requestURL.EscapedPath()
+	segments, err := url.PathUnescape(slashEscaper.Replace(escaped))
 	if err != nil {
 		return nil, false
 	}
 	for _, reading := range []string{segments, escaped} {
-		if reading == address.Path {
+		if reading == requestURL.Path {
 			continue
 		}
 		if other, ok := rules.Match(method, reading); !ok || other != kind {
--- a/internal/filter/path_test.go
+++ b/internal/filter/path_test.go
@@ -21,7 +21,8 @@
 
 const pathsPerCheck = 50
 
-// pathKinds differ in what a caller would like to dodge.
+// pathKinds are kinds that differ in what a caller might want to evade: importance and
+// the ban on retries.
 const pathKinds = `
 resource: service
 name: orders
@@ -63,8 +64,8 @@
 deadline: 2s
 `
 
-// targetRouters are the ways in which targets read the path that reaches them:
-// each returns the name of the kind, or nothing.
+// targetRouters returns the ways in which targets interpret a received path. Each router
+// returns the name of the kind, or nothing.
 func targetRouters(set *schema.Set) map[string]func(uri string) string {
 	matcher := schema.NewMatcher(set)
 	named := func(urlPath string) string {
@@ -98,8 +99,8 @@
 	}
 }
 
-// Whatever a caller writes into its path, the node takes the request for the
-// kind that the target will see, or refuses it.
+// For any path that a caller sends, the node either determines the same kind as the
+// target or rejects the request.
 func TestPathIsOfOneKindForNodeAndTarget(t *testing.T) {
 	set, err := schema.Parse("declarations", []byte(pathKinds))
 	if err != nil {
@@ -125,21 +126,21 @@
 	}
 }
 
-// drawPath draws a path of declared segments and others, which are joined as a
-// caller would to be taken for another kind.
+// drawPath draws a path of declared and other segments, with separators by which a caller
+// might try to be classified as another kind.
 func drawPath(t *rapid.T) string {
 	segment := rapid.SampledFrom([]string{
 		"orders", "notes", "7", "ord%65rs", "n%6Ftes", "..", "%2e%2E", ".", "%25", "a%3Fb", "%C3%A9", "a;b", "%00",
 	})
-	joint := rapid.SampledFrom([]string{"/", "/", "/", "%2F", "%2f", "%5C", "\\", "%252F", "//", "/%2e/"})
+	separator := rapid.SampledFrom([]string{"/", "/", "/", "%2F", "%2f", "%5C", "\\", "%252F", "//", "/%2e/"})
 	text := "/"
 	for range rapid.IntRange(0, 3).Draw(t, "segments") {
-		text += segment.Draw(t, "segment") + joint.Draw(t, "joint")
+		text += segment.Draw(t, "segment") + separator.Draw(t, "joint")
 	}
 	return text + segment.Draw(t, "segment")
 }
 
-// What no reading takes for another kind is let through, encoded or not.
+// A path that has the same kind in every interpretation passes, encoded or not.
 func TestEncodedParametersPass(t *testing.T) {
 	is := is.New(t)
 	set, err := schema.Parse("declarations", []byte(pathKinds))
@@ -160,12 +161,12 @@
 	}
 }
 
-// newClassifier returns a function that sends a path through the chain, and
-// tells the kind and the path that go to the target, or nothing when the request
-// is refused.
+// newClassifier returns a function that sends a path through the chain. The function
+// returns the kind and the path that the target receives, or nothing if the request is
+// rejected.
 func newClassifier(set *schema.Set) func(text string) (kind, uri string) {
 	rules := rulesOf(set)
-	inward := newPlain(time.Unix(1_800_000_000, 0), func() *Rules { return rules })
+	inward := newTestFilters(time.Unix(1_800_000_000, 0), func() *Rules { return rules })
 	return func(text string) (kind, uri string) {
 		chain := Chain(inward.Filters(), func(_ context.Context, e *Exchange) *call.Answer {
 			kind, uri = e.Call.Kind.Name, e.Call.Path
--- a/internal/filter/repeated_test.go
+++ b/internal/filter/repeated_test.go
@@ -15,11 +15,11 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// meshPlay draws what becomes of the sendings of one request.
-type meshPlay struct {
+// meshModel draws the outcomes of the transmissions of one request.
+type meshModel struct {
 	t    *rapid.T
 	runs int
-	// late counts sendings that will run after all answers have come.
+	// late counts transmissions that run after all answers have arrived.
 	late int
 }
 
@@ -28,8 +28,8 @@
 	result.TargetShed, result.KeyTooOld, result.NoOwner, result.BudgetSpent,
 }
 
-// end plays the mesh behind the filters.
-func (m *meshPlay) end(context.Context, *Exchange) *call.Answer {
+// respond simulates the mesh behind the filters.
+func (m *meshModel) respond(context.Context, *Exchange) *call.Answer {
 	switch rapid.SampledFrom([]string{"run", "late", "refuse"}).Draw(m.t, "end") {
 	case "run":
 		m.runs++
@@ -41,8 +41,8 @@
 	return call.Refuse(rapid.SampledFrom(refusals).Draw(m.t, "refusal"), "")
 }
 
-// A caller with a plain HTTP client looks at the code alone, and loses answers.
-// "Not run" is told only of a request of which no sending ran or will run.
+// A caller with a plain HTTP client relies on the code alone and may lose answers. It must
+// get "not run" only if no transmission of its request ran or will run.
 func TestNotRunIsNeverToldOfARequestThatMayHaveRun(t *testing.T) {
 	set, err := schema.Parse("declarations", []byte(declarations))
 	if err != nil {
@@ -50,11 +50,11 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
-		play := &meshPlay{t: t}
+		model := &meshModel{t: t}
 		var rules *Rules
-		inward := newPlain(time.Unix(1_800_000_000, 0), func() *Rules { return rules })
+		inward := newTestFilters(time.Unix(1_800_000_000, 0), func() *Rules { return rules })
 		inward.Allows = func([]string, uint32) (string, bool) { return "orders", rapid.Bool().Draw(t, "open") }
-		door := Door(Chain(inward.Filters(), play.end))
+		door := Door(Chain(inward.Filters(), model.respond))
 		method, path := http.MethodPost, "/orders"
 		if rapid.Bool().Draw(t, "safe") {
 			method, path = http.MethodGet, "/stock/rope"
@@ -76,12 +76,12 @@
 			is.Equal(answer.Header.Get(RefusalHeader) != "", code == result.RepeatRefused)
 		}
 		if toldNotRun { // by the last answer
-			is.Equal(play.runs+play.late, 0)
+			is.Equal(model.runs+model.late, 0)
 		}
 	})
 }
 
-// The headers that say what became of a request are the node's alone.
+// Only the node can set the headers that report the result of a request.
 func TestTargetCannotWriteTheHeadersOfResults(t *testing.T) {
 	is := is.New(t)
 	forged := http.Header{}
--- a/internal/filter/serve.go
+++ b/internal/filter/serve.go
@@ -12,10 +12,10 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// retryAfterSeconds is what callers are told to wait after a refusal for load.
+// retryAfterSeconds is the Retry-After value of rejections due to overload.
 const retryAfterSeconds = "1"
 
-// Door answers the requests of callers and targets with a chain.
+// Door returns a handler that answers requests of callers and targets with a chain.
 func Door(chain Next) func(ctx context.Context, request *http.Request) *ahead.Answer {
 	return func(ctx context.Context, request *http.Request) *ahead.Answer {
 		exchange := NewExchange(request)
@@ -33,8 +33,8 @@
 	return &Exchange{Request: request, Call: &call.Call{}, Remote: remote}
 }
 
-// Reply makes an answer for the wire: the target's own where there is one,
-// otherwise a short JSON body that names the result.
+// Reply returns the HTTP answer to a request. It is the target's own answer if there is
+// one, and otherwise a short JSON body that describes the result.
 func Reply(requestID string, answer *call.Answer) *ahead.Answer {
 	header := make(http.Header, len(answer.Header)+4)
 	for name, values := range answer.Header {
@@ -53,7 +53,7 @@
 	status := answer.Status
 	body := answer.Body
 	if status == 0 {
-		status, body = describe(answer)
+		status, body = describeResult(answer)
 		header.Set("Content-Type", "application/json")
 		if status == http.StatusServiceUnavailable {
 			header.Set("Retry-After", retryAfterSeconds)
@@ -62,7 +62,7 @@
 	return &ahead.Answer{Status: status, Header: header, Body: body}
 }
 
-// Unreadable answers a request that could not be read.
+// Unreadable returns the answer to a request that could not be parsed.
 func Unreadable(status int, reason string) *ahead.Answer {
 	code := result.BadRequest
 	if status == http.StatusRequestEntityTooLarge {
@@ -73,7 +73,8 @@
 	return answer
 }
 
-func describe(answer *call.Answer) (int, []byte) {
+// describeResult returns the status and the JSON body for an answer without a target's own.
+func describeResult(answer *call.Answer) (int, []byte) {
 	info, ok := answer.Code.Info()
 	if !ok {
 		info.Status = http.StatusBadGateway
