--- a/internal/filter/inward.go
+++ b/internal/filter/inward.go
@@ -200,7 +200,7 @@
 		return call.Refuse(result.BadRequest, DeadlineHeader+": "+err.Error())
 	}
 	if f.Fits != nil && !f.Fits(deadline) {
-		return call.Refuse(result.Leaving, "deadline is after the planned stop of the node")
+		return call.Refuse(result.Leaving, "it may take longer than the planned stop")
 	}
 	c := exchange.Call
 	c.Kind = kind
