--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,9 +1,9 @@
-// Package place decodes YAML into plain structs and says of every error where
-// it stands: file, line and column. It reports all errors of a file at once,
-// so that an operator corrects a file in one round.
+// Package place decodes YAML into plain structs and reports the position of every error:
+// file, line and column. It collects all errors of a file instead of stopping at the
+// first, so that an operator can correct them in one pass.
 //
-// A mapping is described by a list of fields, each with its key and a reader
-// that stores the value:
+// A mapping is described by a list of fields, each with its key and a function that
+// decodes and stores the value:
 //
 //	r := place.Reader{File: "node.yaml"}
 //	r.Object(value, []place.Field{
@@ -26,47 +26,50 @@
 )
 
 type (
-	// Problem is one error in a file.
-	//nolint:errname // a problem is first a place that is printed, then an error
+	// Problem is one error in a file, with its position.
+	//nolint:errname // mainly a record that is printed or encoded as JSON
 	Problem struct {
 		File string `json:"file"`
-		// Line and Column count from 1; 0 means that the whole file is meant.
+		// Line and Column count from 1; 0 means that the problem concerns the whole file or
+		// that its position is unknown.
 		Line   int `json:"line"`
 		Column int `json:"column"`
-		// Path names the field, such as calls[1] or limits.key_age.
+		// Path is the path of the field from the document root, such as calls[1] or
+		// limits.key_age.
 		Path string `json:"path"`
-		// Found is what stands there; empty when something is missing.
+		// Found describes the value at the position; it is empty when a key is missing.
 		Found    string `json:"found"`
 		Expected string `json:"expected"`
 	}
 
-	// Problems is all errors of one or more files. It is an error only when
-	// it is not empty, see Err.
-	//nolint:errname // as Problem
+	// Problems holds all errors of one or more files. An empty list is no error; use Err
+	// to convert the list to an error value.
+	//nolint:errname // named after Problem
 	Problems []Problem
 
-	// Value is a YAML node with its path from the root of its document.
+	// Value is a YAML node with its path from the document root.
 	Value struct {
 		Node *yaml.Node
 		Path string
 	}
 
-	// Field is one key that a mapping may have.
+	// Field describes one key that a mapping may have.
 	Field struct {
 		Key      string
 		Required bool
-		// Read stores the value. It reports through the reader and leaves the
-		// destination as it was when the value is wrong.
+		// Read decodes and stores the value. If the value is invalid, Read reports it to
+		// the reader and leaves the destination unchanged.
 		Read func(r *Reader, value Value)
 	}
 
-	// Object is a decoded mapping: the places of its values by key.
+	// Object is a decoded mapping. Fields holds the values of the known keys, so that later
+	// checks can report problems at their positions.
 	Object struct {
 		Value
 		Fields map[string]Value
 	}
 
-	// Reader collects the problems of one file.
+	// Reader decodes one file and collects its problems.
 	Reader struct {
 		File     string
 		Problems Problems
@@ -74,26 +77,26 @@
 )
 
 const (
-	// maxFoundBytes bounds how much of a wrong value an error repeats.
+	// maxFoundBytes limits how much of an invalid value an error quotes.
 	maxFoundBytes = 60
-	// maxSuggestionDistance is the most edits between a wrong key and the key
-	// that is suggested for it.
+	// maxSuggestionDistance is the largest edit distance between an unknown key and the
+	// key that is suggested for it.
 	maxSuggestionDistance = 3
 )
 
 var (
-	// yamlMessage splits a message of the YAML library. It names no line where
-	// that is the first.
+	// yamlMessage splits an error message of the YAML library into line number and text.
+	// The library omits the number for the first line.
 	yamlMessage = regexp.MustCompile(`^yaml: (?:line (\d+): )?(.*)$`)
-	// fromParser matches the messages of the library's parser, which counts
-	// lines from 0. Those of its scanner count from 1.
-	fromParser = regexp.MustCompile(`^(did not find expected (<.*>|node content|key|'-' indicator|',' or '[\]}]')` +
+	// parserMessage matches the messages of the library's parser, which counts lines from
+	// 0. The library's scanner counts lines from 1.
+	parserMessage = regexp.MustCompile(`^(did not find expected (<.*>|node content|key|'-' indicator|',' or '[\]}]')` +
 		`|found (undefined tag handle|incompatible YAML document|duplicate %\w+ directive))$`)
-	// fromScanner matches how the messages of the scanner begin.
-	fromScanner = regexp.MustCompile(`^(did not find|could not find|found|mapping values|block sequence entries) `)
+	// scannerMessage matches the beginning of the scanner's messages.
+	scannerMessage = regexp.MustCompile(`^(did not find|could not find|found|mapping values|block sequence entries) `)
 )
 
-// Error returns the problem in one line, such as
+// Error formats the problem as one line, such as
 //
 //	node.yaml:4:12: relay_listen: expected an IP address and port, found "localhost:7101"
 func (p Problem) Error() string {
@@ -113,7 +116,7 @@
 	return text.String()
 }
 
-// Error returns one line for each problem.
+// Error formats the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -122,7 +125,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the problems in the order of the files, or nil when there are none.
+// Err sorts the problems by file, line and column and returns them as an error, or nil
+// if there are none.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
@@ -140,8 +144,9 @@
 	return p
 }
 
-// Documents returns the root of each YAML document in data; empty documents
-// are left out. After a syntax error the rest of the file cannot be read.
+// Documents returns the root of each YAML document in data, without empty documents. It
+// reports a syntax error and then returns the documents before the error, because the
+// rest of the file cannot be parsed.
 func (r *Reader) Documents(data []byte) []Value {
 	var documents []Value
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
@@ -152,7 +157,7 @@
 			return documents
 		}
 		if err != nil {
-			r.syntax(err, data)
+			r.reportSyntaxError(err, data)
 			return documents
 		}
 		if len(node.Content) != 1 || node.Content[0].Tag == "!!null" {
@@ -162,8 +167,8 @@
 	}
 }
 
-// Object decodes a mapping by its fields and reports unknown, duplicate and
-// missing keys.
+// Object decodes a mapping according to fields and reports unknown, duplicate and missing
+// keys.
 func (r *Reader) Object(value Value, fields []Field) Object {
 	object := Object{Value: value, Fields: map[string]Value{}}
 	if value.Node.Kind != yaml.MappingNode {
@@ -177,7 +182,7 @@
 	r.Each(value, func(key *yaml.Node, child Value) {
 		field, known := byKey[key.Value]
 		if !known {
-			r.unknown(Value{Node: key, Path: child.Path}, fields)
+			r.reportUnknownKey(Value{Node: key, Path: child.Path}, fields)
 			return
 		}
 		object.Fields[key.Value] = child
@@ -185,26 +190,26 @@
 	})
 	for _, field := range fields {
 		if _, present := object.Fields[field.Key]; field.Required && !present {
-			r.add(Value{Node: value.Node, Path: join(value.Path, field.Key)}, "this key to be set", "")
+			r.addProblem(Value{Node: value.Node, Path: joinPath(value.Path, field.Key)}, "this key to be set", "")
 		}
 	}
 	return object
 }
 
-// Each calls visit with every key of a mapping and its value, and reports
-// duplicate keys, which it does not visit.
+// Each calls visit with every key of a mapping and its value. It reports duplicate keys
+// and keys that are not scalars, and does not visit them.
 func (r *Reader) Each(value Value, visit func(key *yaml.Node, child Value)) {
 	seen := map[string]int{}
 	content := value.Node.Content
 	for i := 0; i+1 < len(content); i += 2 {
 		key := content[i]
-		child := Value{Node: content[i+1], Path: join(value.Path, key.Value)}
+		child := Value{Node: content[i+1], Path: joinPath(value.Path, key.Value)}
 		if key.Kind != yaml.ScalarNode {
 			r.Report(Value{Node: key, Path: value.Path}, "a plain key")
 			continue
 		}
 		if line, duplicate := seen[key.Value]; duplicate {
-			r.add(Value{Node: key, Path: child.Path}, "each key once", "it again after line "+strconv.Itoa(line))
+			r.addProblem(Value{Node: key, Path: child.Path}, "each key once", "it again after line "+strconv.Itoa(line))
 			continue
 		}
 		seen[key.Value] = key.Line
@@ -212,22 +217,22 @@
 	}
 }
 
-// Report adds a problem at the value; what stands there is quoted.
+// Report adds a problem at the value and quotes the value.
 func (r *Reader) Report(value Value, expected string) {
-	r.add(value, expected, describe(value.Node))
+	r.addProblem(value, expected, describe(value.Node))
 }
 
-// Reportf adds a problem at the value with the expectation as a format.
+// Reportf is like Report, with the expectation as a format string and arguments.
 func (r *Reader) Reportf(value Value, format string, arguments ...any) {
 	r.Report(value, fmt.Sprintf(format, arguments...))
 }
 
-// ReportSecret adds a problem at the value without quoting what stands there.
+// ReportSecret adds a problem at the value without quoting the value.
 func (r *Reader) ReportSecret(value Value, expected string) {
-	r.add(value, expected, "something else")
+	r.addProblem(value, expected, "something else")
 }
 
-func (r *Reader) add(value Value, expected, found string) {
+func (r *Reader) addProblem(value Value, expected, found string) {
 	r.Problems = append(r.Problems, Problem{
 		File:     r.File,
 		Line:     value.Node.Line,
@@ -238,7 +243,7 @@
 	})
 }
 
-func (r *Reader) unknown(key Value, fields []Field) {
+func (r *Reader) reportUnknownKey(key Value, fields []Field) {
 	names := make([]string, len(fields))
 	for i, field := range fields {
 		names[i] = field.Key
@@ -250,32 +255,33 @@
 	r.Report(key, expected)
 }
 
-func (r *Reader) syntax(err error, data []byte) {
+func (r *Reader) reportSyntaxError(err error, data []byte) {
 	problem := Problem{File: r.File, Expected: "valid YAML near here", Found: err.Error()}
 	if match := yamlMessage.FindStringSubmatch(err.Error()); match != nil {
 		problem.Found = match[2]
-		// What breaks off at the end of the file is said to do so a line later.
-		last := bytes.Count(bytes.TrimRight(data, "\n"), []byte("\n")) + 1
-		problem.Line = min(syntaxLine(match[1], match[2]), last)
+		// For input that is truncated, the library reports the line after the last one.
+		lastLine := bytes.Count(bytes.TrimRight(data, "\n"), []byte("\n")) + 1
+		problem.Line = min(syntaxLine(match[1], match[2]), lastLine)
 		problem.Column = min(problem.Line, 1)
 	}
 	r.Problems = append(r.Problems, problem)
 }
 
-// syntaxLine returns the line that a message of the YAML library means,
-// counted from 1, or 0 if it means none.
-func syntaxLine(named, message string) int {
-	line, _ := strconv.Atoi(named)
+// syntaxLine returns the line that a message of the YAML library refers to, counted from
+// 1, or 0 if the message has no line. lineText is the number in the message, which may be
+// empty.
+func syntaxLine(lineText, message string) int {
+	line, _ := strconv.Atoi(lineText)
 	switch {
-	case fromParser.MatchString(message):
+	case parserMessage.MatchString(message):
 		return line + 1
-	case line == 0 && fromScanner.MatchString(message):
+	case line == 0 && scannerMessage.MatchString(message):
 		return 1
 	}
 	return line
 }
 
-// describe names what stands at a node: scalars are quoted as written.
+// describe returns the kind of a node, or the quoted and shortened text of a scalar.
 func describe(node *yaml.Node) string {
 	switch node.Kind {
 	case yaml.MappingNode:
@@ -292,23 +298,24 @@
 	return strconv.Quote(text)
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-// Closest returns the name with the fewest edits from word, or an empty string
-// when none is near.
+// Closest returns the name with the smallest edit distance from word, or an empty string
+// if none is similar enough to be suggested.
 func Closest(word string, names []string) string {
 	best, bestDistance := "", maxSuggestionDistance+1
 	if len(word) > maxFoundBytes {
 		return ""
 	}
 	for _, name := range names {
-		distance := edits(word, name)
-		// Short words are near to everything: half of the letters must agree.
+		distance := editDistance(word, name)
+		// Short words have a small distance from every name, so at least half of the
+		// letters must agree.
 		if distance < bestDistance && distance*2 <= len(name) {
 			best, bestDistance = name, distance
 		}
@@ -316,8 +323,8 @@
 	return best
 }
 
-// edits returns the Levenshtein distance of two words.
-func edits(a, b string) int {
+// editDistance returns the Levenshtein distance of two words in bytes.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -26,7 +26,7 @@
 	is.Equal(size, int64(math.MaxInt64))
 	for _, text := range []string{"8589934592GiB", "9223372036854775808B", "-1B", "1", "B", "1.5MiB", "1mib", ""} {
 		_, ok := ParseSize(text)
-		is.True(!ok) // wrong sizes are refused
+		is.True(!ok) // malformed or overflowing
 	}
 }
 
@@ -36,18 +36,20 @@
 	is.Equal(Closest("slot", names), "slots")
 	is.Equal(Closest("queue_wiat", names), "queue_wait")
 	is.Equal(Closest("qeue", names), "queue")
-	is.Equal(Closest("zone", names), "") // half of the letters must agree
+	is.Equal(Closest("zone", names), "") // fewer than half of the letters agree
 	is.Equal(Closest("", names), "")
 }
 
-// TestSyntaxErrorsNameTheirLine breaks a file after more and more whole lines.
-// The library names the line where the broken part begins or where it breaks
-// off; here both are in the same line.
+// TestSyntaxErrorsNameTheirLine checks that the line of a syntax error counts from 1 for
+// the messages of the library's parser, which counts from 0, as well as of its scanner.
+// The invalid YAML follows a growing number of valid lines. The library reports the line
+// where the invalid part begins or the line where it ends; in these cases both are the
+// same.
 func TestSyntaxErrorsNameTheirLine(t *testing.T) {
 	is := is.New(t)
 	for _, broken := range []string{
-		"- [1, 2\n", "- {x: 1", "- ]\n", "- !x!y z\n", "}\n", // found by the parser
-		"- @x\n", "- \"\\q\"\n", "- a: : 2\n", "- \"x", // by the scanner
+		"- [1, 2\n", "- {x: 1", "- ]\n", "- !x!y z\n", "}\n", // detected by the parser
+		"- @x\n", "- \"\\q\"\n", "- a: : 2\n", "- \"x", // detected by the scanner
 	} {
 		for lines := range 4 {
 			r := Reader{File: "f"}
@@ -64,6 +66,6 @@
 	is.Equal(r.Problems[0].Column, 1)
 	r = Reader{File: "f"}
 	r.Documents([]byte("- *none\n"))
-	is.Equal(r.Problems[0].Line, 0) // the library does not say where
+	is.Equal(r.Problems[0].Line, 0) // the library reports no position for an unknown alias
 	is.Equal(r.Problems[0].Column, 0)
 }
--- a/internal/place/value.go
+++ b/internal/place/value.go
@@ -12,45 +12,45 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// unit is a unit of size with its name.
-type unit struct {
+// sizeUnit is a unit of data size.
+type sizeUnit struct {
 	name  string
 	bytes int64
 }
 
-// sizeUnits holds the units of size, the largest first. B comes last because
-// the other names end with it.
-var sizeUnits = []unit{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
+// sizeUnits is sorted from the largest unit to the smallest. B must be last, because the
+// other names end with it and ParseSize compares suffixes.
+var sizeUnits = []sizeUnit{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// Text reads a string that is not empty.
-func Text(to *string) func(*Reader, Value) {
+// Text decodes a string that is not empty.
+func Text(dest *string) func(*Reader, Value) {
 	return func(r *Reader, value Value) {
 		if text, ok := scalar(r, value, "a string", "!!str"); ok {
 			if text == "" {
 				r.Report(value, "a string that is not empty")
 				return
 			}
-			*to = text
+			*dest = text
 		}
 	}
 }
 
-// Match reads a string that the pattern accepts; expected says in words what
-// the pattern accepts.
-func Match(to *string, pattern *regexp.Regexp, expected string) func(*Reader, Value) {
+// Match decodes a string that the pattern matches. expected describes the pattern in
+// error messages.
+func Match(dest *string, pattern *regexp.Regexp, expected string) func(*Reader, Value) {
 	return func(r *Reader, value Value) {
 		if text, ok := scalar(r, value, expected, "!!str"); ok {
 			if !pattern.MatchString(text) {
 				r.Report(value, expected)
 				return
 			}
-			*to = text
+			*dest = text
 		}
 	}
 }
 
-// Int reads a whole number from least to most.
-func Int(to *int, least, most int) func(*Reader, Value) {
+// Int decodes a whole number from least to most, both inclusive.
+func Int(dest *int, least, most int) func(*Reader, Value) {
 	return func(r *Reader, value Value) {
 		expected := fmt.Sprintf("a whole number from %d to %d", least, most)
 		text, ok := scalar(r, value, expected, "!!int")
@@ -62,12 +62,12 @@
 			r.Report(value, expected)
 			return
 		}
-		*to = number
+		*dest = number
 	}
 }
 
-// Float reads a number from least to most.
-func Float(to *float64, least, most float64) func(*Reader, Value) {
+// Float decodes a number from least to most, both inclusive.
+func Float(dest *float64, least, most float64) func(*Reader, Value) {
 	return func(r *Reader, value Value) {
 		expected := fmt.Sprintf("a number from %g to %g", least, most)
 		text, ok := scalar(r, value, expected, "!!float", "!!int")
@@ -79,12 +79,13 @@
 			r.Report(value, expected)
 			return
 		}
-		*to = number
+		*dest = number
 	}
 }
 
-// Duration reads a duration with its unit, such as 250ms, from least to most.
-func Duration(to *time.Duration, least, most time.Duration) func(*Reader, Value) {
+// Duration decodes a duration with a unit, such as 250ms, from least to most, both
+// inclusive.
+func Duration(dest *time.Duration, least, most time.Duration) func(*Reader, Value) {
 	return func(r *Reader, value Value) {
 		expected := fmt.Sprintf("a duration with a unit (such as 250ms) from %s to %s", least, most)
 		text, ok := scalar(r, value, expected, "!!str")
@@ -96,12 +97,13 @@
 			r.Report(value, expected)
 			return
 		}
-		*to = duration
+		*dest = duration
 	}
 }
 
-// Size reads a number of bytes with its unit, such as 1MiB, from least to most.
-func Size(to *int64, least, most int64) func(*Reader, Value) {
+// Size decodes a data size with a unit, such as 1MiB, from least to most bytes, both
+// inclusive.
+func Size(dest *int64, least, most int64) func(*Reader, Value) {
 	return func(r *Reader, value Value) {
 		expected := fmt.Sprintf("a size with a unit (such as 1MiB) from %s to %s", FormatSize(least), FormatSize(most))
 		text, ok := scalar(r, value, expected, "!!str")
@@ -113,12 +115,12 @@
 			r.Report(value, expected)
 			return
 		}
-		*to = size
+		*dest = size
 	}
 }
 
-// Enum reads one of the names and stores its index.
-func Enum[T ~uint8](to *T, names ...string) func(*Reader, Value) {
+// Enum decodes one of the names and stores its index.
+func Enum[T ~uint8](dest *T, names ...string) func(*Reader, Value) {
 	return func(r *Reader, value Value) {
 		expected := "one of " + strings.Join(names, ", ")
 		text, ok := scalar(r, value, expected, "!!str")
@@ -127,7 +129,7 @@
 		}
 		for i, name := range names {
 			if name == text {
-				*to = T(i)
+				*dest = T(i)
 				return
 			}
 		}
@@ -135,20 +137,20 @@
 	}
 }
 
-// Address reads an IP address and port to which connections can be opened,
-// such as 127.0.0.1:7100. Names are refused: a process learns addresses from
-// its settings and resolves nothing.
-func Address(to *string) func(*Reader, Value) {
-	return address(to, "an IP address and port (such as 10.0.0.7:7100)", 1)
+// Address decodes an IP address and port to connect to, such as 127.0.0.1:7100. Host
+// names are rejected, because a process takes addresses from its settings and does no
+// name resolution.
+func Address(dest *string) func(*Reader, Value) {
+	return address(dest, "an IP address and port (such as 10.0.0.7:7100)", 1)
 }
 
-// Listen reads an IP address and port to listen on. Port 0 takes any free one;
-// the unspecified address is refused, because others could not dial it.
-func Listen(to *string) func(*Reader, Value) {
-	return address(to, "an IP address of this host and port (such as 10.0.0.7:7100)", 0)
+// Listen decodes an IP address and port to listen on. Port 0 stands for any free port. The
+// unspecified address is rejected, because other processes could not dial it.
+func Listen(dest *string) func(*Reader, Value) {
+	return address(dest, "an IP address of this host and port (such as 10.0.0.7:7100)", 0)
 }
 
-func address(to *string, expected string, leastPort uint16) func(*Reader, Value) {
+func address(dest *string, expected string, leastPort uint16) func(*Reader, Value) {
 	return func(r *Reader, value Value) {
 		text, ok := scalar(r, value, expected, "!!str")
 		if !ok {
@@ -159,11 +161,11 @@
 			r.Report(value, expected)
 			return
 		}
-		*to = address.String()
+		*dest = address.String()
 	}
 }
 
-// List reads a list of strings and calls visit with each.
+// List decodes a list of strings and calls visit with each.
 func List(visit func(r *Reader, value Value, text string)) func(*Reader, Value) {
 	return func(r *Reader, value Value) {
 		if value.Node.Kind != yaml.SequenceNode {
@@ -178,7 +180,7 @@
 	}
 }
 
-// Items returns the values of a list with their places; none for anything else.
+// Items returns the values of a list with their paths, or nil if the value is no list.
 func (v Value) Items() []Value {
 	if v.Node.Kind != yaml.SequenceNode {
 		return nil
@@ -190,8 +192,9 @@
 	return items
 }
 
-// Durations reads a mapping from names to durations.
-func Durations(to *map[string]time.Duration, least, most time.Duration) func(*Reader, Value) {
+// Durations decodes a mapping from names to durations from least to most, both inclusive.
+// It reports invalid entries and stores the valid ones. least must not be negative.
+func Durations(dest *map[string]time.Duration, least, most time.Duration) func(*Reader, Value) {
 	return func(r *Reader, value Value) {
 		if value.Node.Kind != yaml.MappingNode {
 			r.Report(value, "a mapping from names to durations")
@@ -206,12 +209,13 @@
 			}
 		})
 		if len(durations) > 0 {
-			*to = durations
+			*dest = durations
 		}
 	}
 }
 
-// ParseSize returns the number of bytes that a text such as 64KiB stands for.
+// ParseSize parses a data size such as 64KiB and returns the number of bytes. The second
+// result is false if the text is invalid or the size overflows an int64.
 func ParseSize(text string) (int64, bool) {
 	for _, unit := range sizeUnits {
 		digits, found := strings.CutSuffix(text, unit.name)
@@ -227,7 +231,7 @@
 	return 0, false
 }
 
-// FormatSize returns the size in the largest unit that gives a whole number.
+// FormatSize formats a number of bytes in the largest unit that gives a whole number.
 func FormatSize(size int64) string {
 	for _, unit := range sizeUnits {
 		if size >= unit.bytes && size%unit.bytes == 0 {
@@ -237,7 +241,8 @@
 	return strconv.FormatInt(size, 10) + "B"
 }
 
-// scalar returns the text of a plain value that has one of the YAML types.
+// scalar returns the text of a scalar value that has one of the YAML tags, and reports any
+// other value as a problem.
 func scalar(r *Reader, value Value, expected string, tags ...string) (string, bool) {
 	if value.Node.Kind == yaml.ScalarNode {
 		for _, tag := range tags {
