--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -35,7 +35,7 @@
 		config *config.Controller
 	}
 
-	// countingListener counts the bytes of its connections, both ways.
+	// countingListener counts the bytes read from and written to its connections.
 	countingListener struct {
 		net.Listener
 		bytes *atomic.Int64
@@ -74,7 +74,7 @@
 	return n, err
 }
 
-func serve(b *testing.B, handler http.Handler) (server *httptest.Server, bytes *atomic.Int64) {
+func startServer(b *testing.B, handler http.Handler) (server *httptest.Server, bytes *atomic.Int64) {
 	bytes = &atomic.Int64{}
 	server = httptest.NewUnstartedServer(handler)
 	server.Listener = countingListener{server.Listener, bytes}
@@ -95,8 +95,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// declarations returns a document with a number of services, and of kinds that
-// call two others each.
+// declarations returns a configuration document with the given numbers of services and of
+// request kinds. Each kind calls the next two, except for the last two kinds.
 func declarations(services, kinds int) []byte {
 	var b bytes.Buffer
 	b.WriteString("resource: data_centre\nname: port_louis\nregion: mauritius\n")
@@ -136,9 +136,10 @@
 	}
 }
 
-// pair returns two controllers with equal views of n members, whose changes
-// have been spread, the first one ready to exchange with the second over HTTP/2.
-func pair(b *testing.B, n int) (first *member.Controller, bytes *atomic.Int64) {
+// newPair returns the first of two controllers with equal views of n members and no
+// changes left to send, and the counter of the bytes on the wire. The first controller
+// exchanges with the second one over HTTP/2.
+func newPair(b *testing.B, n int) (first *member.Controller, bytes *atomic.Int64) {
 	memory := plat.NewMemory()
 	log := hclog.NewNullLogger()
 	controllers := make([]*member.Controller, 2)
@@ -147,7 +148,7 @@
 		c.Go = func(work func()) { work() }
 		controllers[i] = c
 	}
-	server, bytes := serve(b, nil)
+	server, bytes := startServer(b, nil)
 	mux := http.NewServeMux()
 	mux.Handle(relaypbconnect.NewRelayHandler(relayServer{member: controllers[1]}))
 	server.Config.Handler = mux
@@ -156,7 +157,7 @@
 	client := relaypbconnect.NewRelayClient(&http.Client{Transport: &http.Transport{Protocols: protocols}}, server.URL)
 	plans := make([]*relaypb.PlanVersion, plannedServices)
 	for i := range plans {
-		plans[i] = &relaypb.PlanVersion{Service: service(i), Version: 90210}
+		plans[i] = &relaypb.PlanVersion{Service: serviceName(i), Version: 90210}
 	}
 	for _, c := range controllers {
 		c.Plans = func() []*relaypb.PlanVersion { return plans }
@@ -169,7 +170,7 @@
 			return resp.Msg, nil
 		}
 	}
-	fill(b, memory, n)
+	writeLeases(b, memory, n)
 	for _, c := range controllers {
 		if err := c.Renew(context.Background()); err != nil {
 			b.Fatal(err)
@@ -180,13 +181,13 @@
 			b.Fatal(err)
 		}
 	}
-	for range n { // spends the deltas of the first listing
+	for range n { // uses up the sends of the rows from the first listing
 		controllers[0].Round(context.Background())
 	}
 	return controllers[0], bytes
 }
 
-func fill(b *testing.B, memory *plat.Memory, n int) {
+func writeLeases(b *testing.B, memory *plat.Memory, n int) {
 	for i := 2; i < n; i++ {
 		row := sampleRow(i)
 		value, err := proto.Marshal(&relaypb.Member{
@@ -206,12 +207,12 @@
 	}
 }
 
-// BenchmarkRound measures rounds without news: two exchanges each, both ends
-// in this process.
+// BenchmarkRound measures rounds without changes, with both ends of each exchange in this
+// process.
 func BenchmarkRound(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			c, bytes := pair(b, n)
+			c, bytes := newPair(b, n)
 			exchanges := 0
 			send := c.Send
 			c.Send = func(ctx context.Context, address string, req *relaypb.ExchangeRequest) (*relaypb.ExchangeResponse, error) {
@@ -229,13 +230,14 @@
 	}
 }
 
-// BenchmarkListing measures one listing in which every lease was renewed.
+// BenchmarkListing measures a listing that returns the lease rows of all members, as when
+// every lease was renewed since the last one.
 func BenchmarkListing(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			memory := plat.NewMemory()
-			fill(b, memory, n)
-			server, bytes := serve(b, drill.NewPlatform(memory))
+			writeLeases(b, memory, n)
+			server, bytes := startServer(b, drill.NewPlatform(memory))
 			store := plat.NewClient(server.URL, plat.Limits{ReadsPerSecond: 1e6, ReadBurst: 1e6})
 			before, used := bytes.Load(), processorTime()
 			for b.Loop() {
@@ -262,8 +264,8 @@
 	b.ReportMetric(float64(size), "bytes/row")
 }
 
-// BenchmarkSpread measures on model time, with the platform down, how long a
-// change takes to every node, and what the messages of that time weigh.
+// BenchmarkSpread measures in simulated time, with the platform down, how long a change
+// takes to reach every node: the mean in milliseconds and the maximum in rounds of 300 ms.
 func BenchmarkSpread(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
@@ -271,9 +273,9 @@
 			var spread, slowest time.Duration
 			for seed := 0; b.Loop(); seed++ {
 				b.StopTimer()
-				c := settled(b, uint64(seed), n)
+				c := newSettledCluster(b, uint64(seed), n)
 				c.memory.SetFaults(plat.Faults{Down: true})
-				c.pass(10 * time.Second)
+				c.advance(10 * time.Second)
 				b.StartTimer()
 				c.nodes[0].member.SetSelf(func(self *member.Member) { self.State = member.Cold })
 				row := c.nodes[0].member.Self()
@@ -288,11 +290,11 @@
 	}
 }
 
-// BenchmarkStore measures what a node without news asks of the platform
-// besides listings: a renewal of its lease, and a poll of the head row.
+// BenchmarkStore measures the requests of a node without changes to the platform, other
+// than listings: a renewal of its lease, and a poll of the head row of the configuration.
 func BenchmarkStore(b *testing.B) {
 	memory := plat.NewMemory()
-	server, bytes := serve(b, drill.NewPlatform(memory))
+	server, bytes := startServer(b, drill.NewPlatform(memory))
 	store := plat.NewClient(server.URL, plat.Limits{ReadsPerSecond: 1e6, ReadBurst: 1e6, WritesPerSecond: 1e6, WriteBurst: 1e6})
 	ctx := context.Background()
 	node := member.New(sampleRow(1), store, clock.System{}, hclog.NewNullLogger())
@@ -315,18 +317,17 @@
 	}
 }
 
-// BenchmarkFetch measures how a node takes a new revision from a peer: the
-// bytes of the fetch, and the processor time of both ends with the reading of
-// the document.
+// BenchmarkFetch measures how a node fetches a new revision from a peer: the bytes
+// transferred, and the processor time of both ends including parsing of the document.
 func BenchmarkFetch(b *testing.B) {
 	for _, size := range []struct{ services, kinds int }{{4, 6}, {14, 75}, {27, 150}, {54, 300}} {
 		b.Run(fmt.Sprintf("services=%d/kinds=%d", size.services, size.kinds), func(b *testing.B) {
 			document := declarations(size.services, size.kinds)
 			source := config.New(plat.NewMemory().Store(), parseDeclarations, clock.System{}, hclog.NewNullLogger())
 			if !source.Offer(config.Revision{Number: 1, Digest: config.Digest(document), Document: document}) {
-				b.Fatal("the document was refused")
+				b.Fatal("the document was rejected")
 			}
-			server, wire := serve(b, nil)
+			server, wire := startServer(b, nil)
 			mux := http.NewServeMux()
 			mux.Handle(relaypbconnect.NewRelayHandler(relayServer{config: source}))
 			server.Config.Handler = mux
@@ -335,18 +336,18 @@
 			client := relaypbconnect.NewRelayClient(&http.Client{Transport: &http.Transport{Protocols: protocols}}, server.URL)
 			before, used := wire.Load(), processorTime()
 			for b.Loop() {
-				taker := config.New(plat.NewMemory().Store(), parseDeclarations, clock.System{}, hclog.NewNullLogger())
-				taker.Go = func(work func()) { work() }
-				taker.Fetch = func(ctx context.Context, _ string, plans []string) (*relaypb.FetchResponse, error) {
+				fetcher := config.New(plat.NewMemory().Store(), parseDeclarations, clock.System{}, hclog.NewNullLogger())
+				fetcher.Go = func(work func()) { work() }
+				fetcher.Fetch = func(ctx context.Context, _ string, plans []string) (*relaypb.FetchResponse, error) {
 					resp, err := client.Fetch(ctx, connect.NewRequest(&relaypb.FetchRequest{Plans: plans}))
 					if err != nil {
 						return nil, err
 					}
 					return resp.Msg, nil
 				}
-				taker.Heard(context.Background(), server.URL, 1)
-				if taker.Number() != 1 {
-					b.Fatal("the revision was not taken")
+				fetcher.Heard(context.Background(), server.URL, 1)
+				if fetcher.Number() != 1 {
+					b.Fatal("the revision was not fetched")
 				}
 			}
 			used = processorTime() - used
@@ -357,7 +358,7 @@
 	}
 }
 
-// BenchmarkParse measures the reading of a document alone.
+// BenchmarkParse measures the parsing of a document alone.
 func BenchmarkParse(b *testing.B) {
 	for _, size := range []struct{ services, kinds int }{{4, 6}, {14, 75}, {27, 150}, {54, 300}} {
 		b.Run(fmt.Sprintf("services=%d/kinds=%d", size.services, size.kinds), func(b *testing.B) {
@@ -372,7 +373,7 @@
 	}
 }
 
-// BenchmarkView measures the memory of a view and the texts of its rows.
+// BenchmarkView measures the heap memory of a view, including the strings of its rows.
 func BenchmarkView(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
--- a/internal/member/catchup.go
+++ b/internal/member/catchup.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// checkFreeze notices that the process stood still for longer than its lease.
-// What it knew may be void: it catches up before it is ready again, and gives
-// the others time to be heard before their leases are judged.
+// checkFreeze detects that the process did not run for at least LeaseDuration. Its view
+// and configuration may then be outdated, so the node becomes unready until it has caught
+// up, and the other members get time to be seen before their leases can expire.
 func (c *Controller) checkFreeze(now time.Time) {
 	if c.lastRound.IsZero() || now.Sub(c.lastRound) < LeaseDuration {
 		return
 	}
 	c.Log.Warn("woke_after_freeze", "frozen", now.Sub(c.lastRound))
 	c.ready = false
-	c.unreadyFrom = now
-	clear(c.answers)
+	c.unreadySince = now
+	clear(c.fullViewsFrom)
 	c.view.PlatformDown()
-	signal(c.touch)
+	signal(c.leaseRequests)
 }
 
-// becomeReady ends the start or the wake, once the platform's table or enough
-// peers have given their whole view, and the configuration is caught up with.
+// becomeReady makes the node ready after a start or a freeze, once it has read the
+// platform's table or got the full view of enough peers, and has caught up with the
+// configuration.
 func (c *Controller) becomeReady(ctx context.Context, fromTable bool) {
 	c.mu.Lock()
 	if c.ready || c.catchingUp {
 		c.mu.Unlock()
 		return
 	}
-	known := c.others()
-	enough := min(catchUpPeers, len(known))
-	if c.Clock.Now().Sub(c.unreadyFrom) >= catchUpPatience {
-		enough = 1
+	addresses := c.peerAddresses()
+	required := min(catchUpPeers, len(addresses))
+	if c.Clock.Now().Sub(c.unreadySince) >= catchUpPeersTimeout {
+		required = 1
 	}
-	heard := fromTable || len(c.answers) > 0 && len(c.answers) >= enough
-	c.catchingUp = heard
+	viewComplete := fromTable || len(c.fullViewsFrom) > 0 && len(c.fullViewsFrom) >= required
+	c.catchingUp = viewComplete
 	c.mu.Unlock()
-	if heard {
-		c.run(func() { c.catchUp(ctx, known, fromTable) })
+	if viewComplete {
+		c.runAsync(func() { c.catchUp(ctx, addresses, fromTable) })
 	}
 }
 
-func (c *Controller) catchUp(ctx context.Context, known []string, fromTable bool) {
+func (c *Controller) catchUp(ctx context.Context, addresses []string, fromTable bool) {
 	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	var err error
 	if c.CatchUp != nil {
-		err = c.CatchUp(ctx, known)
+		err = c.CatchUp(ctx, addresses)
 	}
 	c.mu.Lock()
 	c.catchingUp = false
@@ -64,6 +65,6 @@
 func (c *Controller) setReady(fromTable bool) {
 	c.ready = true
 	c.seeds = nil
-	c.view.Settle()
-	c.Log.Info("view_ready", "members", len(c.view.names()), "from_table", fromTable)
+	c.view.EndStartup()
+	c.Log.Info("view_ready", "members", len(c.view.presentNames()), "from_table", fromTable)
 }
--- a/internal/member/cluster_test.go
+++ b/internal/member/cluster_test.go
@@ -23,26 +23,26 @@
 const (
 	nodes         = 30
 	fineTick      = 50 * time.Millisecond
-	coarseTick    = time.Second // for hours in which nothing is timed
-	inForceWithin = 4 * time.Second
-	leavingWithin = 3 * time.Second
+	coarseTick    = time.Second // for long simulated periods in which nothing is timed
+	revisionLimit = 4 * time.Second
+	leavingLimit  = 3 * time.Second
 )
 
 type (
 	manualClock struct{ now time.Time }
 
-	// cluster runs controllers in one goroutine on model time. Messages
-	// between them are direct calls that can be lost or cut.
+	// cluster runs controllers in one goroutine in simulated time. Messages between them
+	// are direct calls that can be lost or blocked by a partition.
 	cluster struct {
-		t      testing.TB
-		clock  *manualClock
-		random *rand.Rand
-		memory *plat.Memory
-		tick   time.Duration
-		nodes  []*node
-		loss   float64
-		cut    func(from, to string) bool
-		// sent counts the exchanges.
+		t        testing.TB
+		clock    *manualClock
+		random   *rand.Rand
+		memory   *plat.Memory
+		tick     time.Duration
+		nodes    []*node
+		lossRate float64
+		blocked  func(from, to string) bool
+		// sent counts the exchanges, including lost ones.
 		sent int
 	}
 
@@ -54,8 +54,8 @@
 		member  *member.Controller
 		config  *config.Controller
 
-		fetchFails                    bool
-		nextRound, nextLease, nextSet time.Time
+		fetchFails                     bool
+		nextRound, nextLease, nextPoll time.Time
 	}
 )
 
@@ -67,12 +67,12 @@
 
 func newCluster(t testing.TB, seed uint64, size int) *cluster {
 	c := &cluster{
-		t:      t,
-		clock:  &manualClock{now: time.UnixMilli(1_700_000_000_000)},
-		random: rand.New(rand.NewPCG(seed, 1)),
-		memory: plat.NewMemory(),
-		tick:   fineTick,
-		cut:    func(string, string) bool { return false },
+		t:       t,
+		clock:   &manualClock{now: time.UnixMilli(1_700_000_000_000)},
+		random:  rand.New(rand.NewPCG(seed, 1)),
+		memory:  plat.NewMemory(),
+		tick:    fineTick,
+		blocked: func(string, string) bool { return false },
 	}
 	for i := range size {
 		c.nodes = append(c.nodes, &node{cluster: c, address: fmt.Sprintf("127.0.0.1:%d", 10000+i)})
@@ -81,12 +81,12 @@
 	return c
 }
 
-// start gives the slot a new process that remembers nothing.
+// start replaces the process of a node by a new one without any state.
 func (c *cluster) start(i int) {
 	n := c.nodes[i]
 	n.alive = true
 	n.started = c.clock.now
-	n.nextRound, n.nextLease, n.nextSet = c.clock.now, c.clock.now, c.clock.now
+	n.nextRound, n.nextLease, n.nextPoll = c.clock.now, c.clock.now, c.clock.now
 	self := member.Member{
 		Name:         fmt.Sprintf("node-%04d", i),
 		Incarnation:  fmt.Sprintf("inc-%04d-%d", i, c.clock.now.UnixMilli()),
@@ -127,31 +127,31 @@
 
 func (n *node) send(_ context.Context, address string, req *relaypb.ExchangeRequest) (*relaypb.ExchangeResponse, error) {
 	n.cluster.sent++
-	to, err := n.reach(address)
+	to, err := n.receiver(address)
 	if err != nil {
 		return nil, err
 	}
 	resp := to.member.Answer(req)
-	if n.cluster.random.Float64() < n.cluster.loss {
+	if n.cluster.random.Float64() < n.cluster.lossRate {
 		return nil, errLost
 	}
 	return resp, nil
 }
 
 func (n *node) fetch(_ context.Context, address string, plans []string) (*relaypb.FetchResponse, error) {
-	to, err := n.reach(address)
+	to, err := n.receiver(address)
 	if err != nil || n.fetchFails {
 		return nil, errLost
 	}
 	return to.config.Answer(&relaypb.FetchRequest{Plans: plans}), nil
 }
 
-func (n *node) reach(address string) (*node, error) {
+func (n *node) receiver(address string) (*node, error) {
 	for _, to := range n.cluster.nodes {
 		if to.address != address {
 			continue
 		}
-		if !to.alive || n.cluster.cut(n.address, address) || n.cluster.random.Float64() < n.cluster.loss {
+		if !to.alive || n.cluster.blocked(n.address, address) || n.cluster.random.Float64() < n.cluster.lossRate {
 			return nil, errLost
 		}
 		return to, nil
@@ -162,16 +162,16 @@
 func (n *node) step(now time.Time) {
 	ctx := context.Background()
 	if !now.Before(n.nextLease) {
-		n.nextLease = now.Add(n.cluster.about(10 * time.Second))
-		_ = n.member.Refresh(ctx) // an outage is part of the scene
+		n.nextLease = now.Add(n.cluster.jitter(10 * time.Second))
+		_ = n.member.Refresh(ctx) // tests simulate outages
 		_ = n.member.Renew(ctx)
 	}
-	if !now.Before(n.nextSet) {
-		n.nextSet = now.Add(n.cluster.about(2 * time.Second))
+	if !now.Before(n.nextPoll) {
+		n.nextPoll = now.Add(n.cluster.jitter(2 * time.Second))
 		_ = n.config.Poll(ctx)
 	}
 	if !now.Before(n.nextRound) {
-		n.nextRound = now.Add(n.cluster.about(300 * time.Millisecond))
+		n.nextRound = now.Add(n.cluster.jitter(300 * time.Millisecond))
 		n.member.Round(ctx)
 	}
 }
@@ -180,11 +180,12 @@
 	return n.alive && n.member.Ready() && n.config.Number() > 0
 }
 
-func (c *cluster) about(d time.Duration) time.Duration {
+func (c *cluster) jitter(d time.Duration) time.Duration {
 	return time.Duration((0.5 + c.random.Float64()) * float64(d))
 }
 
-// run lets model time pass until done returns true, and returns how much did.
+// run advances simulated time until done returns true or the limit is reached, and returns
+// the time that passed.
 func (c *cluster) run(limit time.Duration, done func() bool) time.Duration {
 	begin := c.clock.now
 	for c.clock.now.Sub(begin) < limit && !done() {
@@ -198,7 +199,7 @@
 	return c.clock.now.Sub(begin)
 }
 
-func (c *cluster) pass(d time.Duration) {
+func (c *cluster) advance(d time.Duration) {
 	c.run(d, func() bool { return false })
 }
 
@@ -217,15 +218,15 @@
 	return c.nodes[by].config.Commit(context.Background(), []byte(document), expected)
 }
 
-// settled returns a cluster whose nodes all serve revision 1.
-func settled(t testing.TB, seed uint64, size int) *cluster {
+// newSettledCluster returns a cluster whose nodes all serve revision 1 and know each other.
+func newSettledCluster(t testing.TB, seed uint64, size int) *cluster {
 	is := is.New(t)
 	c := newCluster(t, seed, size)
 	_, err := c.commit(0, "first", 0)
 	is.NoErr(err)
 	limit := 20 * time.Second
 	took := c.run(limit, c.all(func(n *node) bool { return n.serves() && len(n.member.All()) == size }))
-	is.True(took < limit) // every node knows every other
+	is.True(took < limit) // every node knows all others
 	return c
 }
 
@@ -234,59 +235,60 @@
 }
 
 func TestRevisionIsInForceEverywhereWithinSeconds(t *testing.T) {
-	scenes := map[string]func(c *cluster){
+	scenarios := map[string]func(c *cluster){
 		"store up":                  func(*cluster) {},
 		"store down after accept":   func(c *cluster) { c.memory.SetFaults(plat.Faults{Down: true}) },
-		"third of messages lost":    func(c *cluster) { c.loss = 0.3 },
-		"store down and loss":       func(c *cluster) { c.memory.SetFaults(plat.Faults{Down: true}); c.loss = 0.3 },
-		"store only, no exchange":   func(c *cluster) { c.cut = func(string, string) bool { return true } },
+		"third of messages lost":    func(c *cluster) { c.lossRate = 0.3 },
+		"store down and loss":       func(c *cluster) { c.memory.SetFaults(plat.Faults{Down: true}); c.lossRate = 0.3 },
+		"store only, no exchange":   func(c *cluster) { c.blocked = func(string, string) bool { return true } },
 		"accepting node then stops": func(c *cluster) { c.nodes[7].alive = false },
 	}
-	for name, disturb := range scenes {
+	for name, disturb := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(5) {
 				is := is.New(t)
-				c := settled(t, seed, nodes)
+				c := newSettledCluster(t, seed, nodes)
 				_, err := c.commit(7, "second", 1)
 				is.NoErr(err)
 				disturb(c)
-				took := c.run(2*inForceWithin, c.all(hasRevision(2)))
-				is.True(took <= inForceWithin) // in force in 30 nodes in time
+				took := c.run(2*revisionLimit, c.all(hasRevision(2)))
+				is.True(took <= revisionLimit) // in force in 30 nodes in time
 			}
 		})
 	}
 }
 
-// Nodes without news meet half as often, which is most of what they cost while idle; and
-// what then happens is known as soon as ever.
+// Nodes without changes make half as many exchanges, which are most of their idle cost.
+// The test guards against that saving delaying the next change: a new revision must still
+// reach all nodes in time, with the platform down and a third of the messages lost.
 func TestCalmNodesMeetLessOften(t *testing.T) {
 	for seed := range uint64(5) {
 		is := is.New(t)
-		c := settled(t, seed, nodes)
-		c.pass(10 * time.Second)
+		c := newSettledCluster(t, seed, nodes)
+		c.advance(10 * time.Second)
 		c.sent = 0
-		c.pass(30 * time.Second)
-		is.True(float64(c.sent) < 1.2*nodes*30/0.3) // about one exchange in a round
+		c.advance(30 * time.Second)
+		is.True(float64(c.sent) < 1.2*nodes*30/0.3) // about one exchange per round
 		_, err := c.commit(7, "second", 1)
 		is.NoErr(err)
 		c.memory.SetFaults(plat.Faults{Down: true})
-		c.loss = 0.3
-		took := c.run(2*inForceWithin, c.all(hasRevision(2)))
-		is.True(took <= inForceWithin)
+		c.lossRate = 0.3
+		took := c.run(2*revisionLimit, c.all(hasRevision(2)))
+		is.True(took <= revisionLimit)
 	}
 }
 
 func TestRestartInOutageNeverServesALowerRevision(t *testing.T) {
 	for seed := range uint64(20) {
 		is := is.New(t)
-		c := settled(t, seed, nodes)
+		c := newSettledCluster(t, seed, nodes)
 		// Two nodes cannot fetch and keep revision 1.
 		c.nodes[1].fetchFails = true
 		c.nodes[2].fetchFails = true
 		_, err := c.commit(7, "second", 1)
 		is.NoErr(err)
 		c.memory.SetFaults(plat.Faults{Down: true})
-		c.pass(inForceWithin)
+		c.advance(revisionLimit)
 		is.Equal(c.nodes[20].config.Number(), int64(2))
 
 		c.start(20)
@@ -294,9 +296,9 @@
 		limit := 15 * time.Second
 		took := c.run(limit, func() bool { return restarted.serves() })
 		is.True(took < limit)                         // found by its peers
-		is.Equal(restarted.config.Number(), int64(2)) // not what the two laggards have
-		is.Equal(len(restarted.member.All()), nodes)  // and it knows everybody
-		c.pass(5 * time.Second)                       // the others see the new incarnation
+		is.Equal(restarted.config.Number(), int64(2)) // not revision 1 of the two outdated nodes
+		is.Equal(len(restarted.member.All()), nodes)  // it knows all members
+		c.advance(5 * time.Second)                    // the others see the new incarnation
 		is.True(c.all(func(n *node) bool { return knows(n, restarted.member.Self()) })())
 	}
 }
@@ -312,7 +314,7 @@
 
 func TestTwoOperatorsOneWins(t *testing.T) {
 	is := is.New(t)
-	c := settled(t, 1, 3)
+	c := newSettledCluster(t, 1, 3)
 	for expected := int64(1); expected <= 10; expected++ {
 		won, err := c.commit(int(expected)%3, fmt.Sprintf("a-%d", expected), expected)
 		is.NoErr(err)
@@ -325,9 +327,9 @@
 
 func TestLostAnswerMakesOneRevision(t *testing.T) {
 	is := is.New(t)
-	c := settled(t, 1, 3)
-	// Every write takes effect and no writer hears of it, then the reads fail
-	// too: the operator is told that the fate is open.
+	c := newSettledCluster(t, 1, 3)
+	// The write takes effect but its answer is lost, and then reads fail too: the operator
+	// is told that the outcome is unresolved.
 	store := c.memory.Store()
 	commit := store.Commit
 	store.Commit = func(ctx context.Context, write plat.Write) (int64, error) {
@@ -341,39 +343,39 @@
 	operator := config.New(store, parseAny, c.clock, hclog.NewNullLogger())
 	_, err := operator.Commit(context.Background(), []byte("second"), 1)
 	is.True(errorx.IsOfType(err, config.Unresolved))
-	is.Equal(operator.Number(), int64(0)) // not in force here before it is known
+	is.Equal(operator.Number(), int64(0)) // not in force here while the outcome is unknown
 
 	c.memory.SetFaults(plat.Faults{})
-	// Another operator overwrites it before the first tries again.
+	// Another operator commits a further revision before the first one retries.
 	_, err = c.commit(0, "third", 2)
 	is.NoErr(err)
 	again, err := c.commit(1, "second", 1)
 	is.NoErr(err)
 	is.Equal(again.Number, int64(2))
-	c.pass(inForceWithin)
-	is.True(c.all(hasRevision(3))()) // one revision each, and no reversal
+	c.advance(revisionLimit)
+	is.True(c.all(hasRevision(3))()) // one revision per operator, and the retry does not revert to 2
 }
 
 func TestLeavingIsSeenEverywhereWhileThePlatformIsDown(t *testing.T) {
 	for _, size := range []int{nodes, 150} {
 		for seed := range uint64(3) {
 			is := is.New(t)
-			c := settled(t, seed, size)
+			c := newSettledCluster(t, seed, size)
 			c.memory.SetFaults(plat.Faults{Down: true})
-			c.loss = 0.1
+			c.lossRate = 0.1
 			leaver := c.nodes[3]
 			leaver.member.Leave(context.Background())
 			row := leaver.member.Self()
 			is.Equal(row.State, member.Leaving)
-			took := c.run(2*leavingWithin, c.all(func(n *node) bool { return knows(n, row) }))
-			is.True(took <= leavingWithin)
+			took := c.run(2*leavingLimit, c.all(func(n *node) bool { return knows(n, row) }))
+			is.True(took <= leavingLimit)
 		}
 	}
 }
 
 func TestLeaveTellsAFewMembersAtOnce(t *testing.T) {
 	is := is.New(t)
-	c := settled(t, 1, nodes)
+	c := newSettledCluster(t, 1, nodes)
 	c.memory.SetFaults(plat.Faults{Down: true})
 	c.nodes[3].member.Leave(context.Background())
 	row := c.nodes[3].member.Self()
@@ -382,19 +384,19 @@
 
 func TestGoneIsNotResurrected(t *testing.T) {
 	is := is.New(t)
-	c := settled(t, 1, nodes)
+	c := newSettledCluster(t, 1, nodes)
 	leaver := c.nodes[3]
 	stale := leaver.member.Self()
 	leaver.member.Leave(context.Background())
-	c.pass(time.Second)
+	c.advance(time.Second)
 	leaver.member.Depart(context.Background())
 	leaver.alive = false
-	c.pass(5 * time.Second)
+	c.advance(5 * time.Second)
 	gone := c.all(func(n *node) bool { return len(n.member.All()) == nodes-1 })
 	is.True(gone())
-	// An old message arrives at every node, as after a partition of an hour.
+	// A stale message arrives at every node, as after a partition of one hour.
 	c.tick = coarseTick
-	c.pass(time.Hour)
+	c.advance(time.Hour)
 	for _, n := range c.nodes {
 		n.member.Answer(&relaypb.ExchangeRequest{From: stale.RelayAddress, Deltas: []*relaypb.Member{{
 			Name: stale.Name, Incarnation: stale.Incarnation, StartedMs: stale.StartedMS,
@@ -406,17 +408,17 @@
 
 func TestHealedPartitionConverges(t *testing.T) {
 	is := is.New(t)
-	c := settled(t, 1, nodes)
+	c := newSettledCluster(t, 1, nodes)
 	c.memory.SetFaults(plat.Faults{Down: true})
 	side := func(address string) bool { return address < "127.0.0.1:10010" }
-	c.cut = func(from, to string) bool { return side(from) != side(to) }
+	c.blocked = func(from, to string) bool { return side(from) != side(to) }
 	for i, n := range c.nodes {
 		n.member.SetSelf(func(self *member.Member) { self.CallerAddress = fmt.Sprintf("127.0.0.2:%d", 10000+i) })
 	}
-	c.pass(10 * time.Minute)
-	is.True(c.all(func(n *node) bool { return len(n.member.All()) == nodes })()) // nobody lapsed in the outage
+	c.advance(10 * time.Minute)
+	is.True(c.all(func(n *node) bool { return len(n.member.All()) == nodes })()) // no lease expired in the outage
 	is.True(c.nodes[0].member.Hash() != c.nodes[29].member.Hash())
-	c.cut = func(string, string) bool { return false }
+	c.blocked = func(string, string) bool { return false }
 	limit := 10 * time.Second
 	took := c.run(limit, c.all(func(n *node) bool { return n.member.Hash() == c.nodes[0].member.Hash() }))
 	is.True(took < limit)
@@ -424,29 +426,29 @@
 
 func TestLeasesLapseOnlyWhileThePlatformIsUp(t *testing.T) {
 	is := is.New(t)
-	c := settled(t, 1, nodes)
+	c := newSettledCluster(t, 1, nodes)
 	c.memory.SetFaults(plat.Faults{Down: true})
 	c.nodes[5].alive = false
-	c.pass(5 * time.Minute)
+	c.advance(5 * time.Minute)
 	is.True(c.all(func(n *node) bool { return len(n.member.All()) == nodes })())
 	c.memory.SetFaults(plat.Faults{})
 	limit := 2 * time.Minute
 	took := c.run(limit, c.all(func(n *node) bool { return len(n.member.All()) == nodes-1 }))
 	is.True(took < limit)
-	// Back on the same address in a new outage: its peers find it.
+	// The node restarts on the same address in a new outage, and its peers contact it.
 	c.memory.SetFaults(plat.Faults{Down: true})
-	c.pass(time.Second)
+	c.advance(time.Second)
 	c.start(5)
 	took = c.run(limit, c.all(func(n *node) bool { return n.serves() && len(n.member.All()) == nodes }))
 	is.True(took < limit)
 }
 
-// TestLateRenewalDoesNotUndoADeparture lets the node depart while its renewal
-// is on the way to the table.
+// TestLateRenewalDoesNotUndoADeparture guards against a lease row that outlives its node:
+// the node departs while its renewal is in flight to the table.
 func TestLateRenewalDoesNotUndoADeparture(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	c := settled(t, 1, 3)
+	c := newSettledCluster(t, 1, 3)
 	leaver := c.nodes[1].member
 	commit := leaver.Store.Commit
 	leaver.Store.Commit = func(ctx context.Context, write plat.Write) (int64, error) {
@@ -462,14 +464,14 @@
 
 func TestLaterIncarnationWins(t *testing.T) {
 	is := is.New(t)
-	c := settled(t, 1, nodes)
+	c := newSettledCluster(t, 1, nodes)
 	paused := c.nodes[4].member
-	c.pass(time.Second)
+	c.advance(time.Second)
 	c.start(4)
-	c.pass(20 * time.Second)
+	c.advance(20 * time.Second)
 	_, stops := c.nodes[4].member.Superseded()
 	is.True(!stops)
-	is.NoErr(paused.Renew(context.Background())) // the old one wakes
+	is.NoErr(paused.Renew(context.Background())) // the earlier process resumes
 	later, stops := paused.Superseded()
 	is.True(stops)
 	is.Equal(later.Incarnation, c.nodes[4].member.Self().Incarnation)
@@ -478,14 +480,14 @@
 
 func TestRestartWithAClockBehindIsNotTakenForTheEarlier(t *testing.T) {
 	is := is.New(t)
-	c := settled(t, 1, nodes)
+	c := newSettledCluster(t, 1, nodes)
 	c.memory.SetFaults(plat.Faults{Down: true})
 	now := c.clock.now
 	c.clock.now = now.Add(-time.Hour)
 	c.start(4)
 	c.clock.now = now
 	c.nodes[4].started = now
-	c.pass(15 * time.Second)
+	c.advance(15 * time.Second)
 	_, stops := c.nodes[4].member.Superseded()
 	is.True(!stops)
 	is.True(c.all(func(n *node) bool { return knows(n, c.nodes[4].member.Self()) })())
@@ -493,24 +495,25 @@
 
 func TestWakeAfterFreezeIsNotReadyBeforeItCaughtUp(t *testing.T) {
 	is := is.New(t)
-	c := settled(t, 1, nodes)
+	c := newSettledCluster(t, 1, nodes)
 	frozen := c.nodes[4]
-	frozen.alive = false // its process stands still, and its memory stays
-	c.pass(time.Second)
+	frozen.alive = false // the process is suspended and keeps its memory
+	c.advance(time.Second)
 	_, err := c.commit(7, "second", 1)
 	is.NoErr(err)
-	c.pass(time.Minute)
+	c.advance(time.Minute)
 	c.memory.SetFaults(plat.Faults{Down: true})
 	is.True(!frozen.member.Ready())
-	// Awake, but first nobody is heard, and then no configuration arrives.
+	// The process resumes, but at first no peer is reachable, and then no configuration
+	// can be fetched.
 	frozen.alive = true
-	c.cut = func(from, to string) bool { return from == frozen.address || to == frozen.address }
+	c.blocked = func(from, to string) bool { return from == frozen.address || to == frozen.address }
 	neverReady := func() bool {
 		is.True(!frozen.member.Ready())
 		return false
 	}
 	c.run(5*time.Second, neverReady)
-	c.cut = func(string, string) bool { return false }
+	c.blocked = func(string, string) bool { return false }
 	frozen.fetchFails = true
 	c.run(5*time.Second, neverReady)
 	frozen.fetchFails = false
--- a/internal/member/control.go
+++ b/internal/member/control.go
@@ -14,123 +14,129 @@
 )
 
 const (
-	// roundInterval is the mean time between two rounds of a node.
+	// roundInterval is the mean time between two gossip rounds of a ready node.
 	roundInterval = 300 * time.Millisecond
-	// unreadyInterval takes its place while the node is not ready.
+	// unreadyInterval is the mean time between two rounds while the node is not ready.
 	unreadyInterval = 100 * time.Millisecond
-	// roundPeers is how many members a round exchanges with.
+	// roundPeers is the usual number of members that a round exchanges with. Probes of
+	// lapsed and gone members come in addition.
 	roundPeers = 2
-	// sendTimeout bounds one exchange.
+	// sendTimeout limits one exchange.
 	sendTimeout = time.Second
-	// maxInFlight bounds the exchanges of a node that wait for an answer.
+	// maxInFlight limits the exchanges of a node that await an answer.
 	maxInFlight = 8
-	// farShare is the share of rounds that cross into another region.
-	farShare = 0.25
-
-	// settleTime is how long a view must have been unchanged before a node
-	// sends it whole to one whose view differs: while news is under way, deltas
-	// end the difference. Where news never ends, a difference from everybody
-	// that lasts for unsettledTime is enough.
-	settleTime    = 2 * time.Second
-	unsettledTime = 10 * time.Second
-	// A whole view is sent at most once in fullPerMember times the number of
-	// members, and in fullInterval. At 530 members of 155 bytes that is 82 KB
-	// in 13 s, 6 KB/s at worst.
-	fullPerMember = 25 * time.Millisecond
-	fullInterval  = time.Second
-
-	// lapsedShare is the share of rounds that ask a lapsed member, at most; it falls
-	// with lapsedRate/n, so that n nodes do not flood one address.
+	// crossRegionShare is the fraction of rounds that contact another region.
+	crossRegionShare = 0.25
+
+	// quietPeriod is how long a view must have been unchanged before a node sends its full
+	// view to a peer whose view differs; while changes still spread, deltas resolve the
+	// difference. If changes never cease, the node sends its full view once it has found no
+	// peer with an equal view for mismatchLimit.
+	quietPeriod   = 2 * time.Second
+	mismatchLimit = 10 * time.Second
+	// A full view is sent at most once per fullViewIntervalPerMember times the number of
+	// members, and at most once per minFullViewInterval. With 530 members of 155 bytes that
+	// is at most 82 KB in 13 s, or 6 KB/s.
+	fullViewIntervalPerMember = 25 * time.Millisecond
+	minFullViewInterval       = time.Second
+
+	// lapsedShare is the largest fraction of rounds that probe a lapsed member. With n
+	// other members the fraction is at most lapsedRate/n, so that n nodes do not flood one
+	// address.
 	lapsedShare = 0.1
-	// leftRate takes the place of lapsedRate for those that went a short while ago,
-	// which most likely start again at their address and know nobody: they are
-	// asked in every round where nodes are few, and 33 times a second by all nodes
-	// together where they are many.
-	leftRate   = 10.0
-	lapsedRate = 3.0
-
-	// catchUpPeers is how many peers a node hears, if the platform does not
-	// answer, before it trusts its view.
+	// recentlyGoneRate is used instead of lapsedRate for recently gone members, which most
+	// likely restart at their address and then know no other members. Each node of a small
+	// cluster probes one of them in every round; all nodes of a large cluster together
+	// probe 33 times per second.
+	recentlyGoneRate = 10.0
+	lapsedRate       = 3.0
+
+	// catchUpPeers is the number of peers whose full views a node needs before it becomes
+	// ready, if the platform does not answer.
 	catchUpPeers = 3
 
-	// catchUpPatience is how long it waits for that many; silent peers may be
-	// dead, and while the platform is down their leases do not run out.
-	catchUpPatience = 10 * time.Second
-	// catchUpTimeout bounds one attempt of CatchUp.
+	// catchUpPeersTimeout is how long a node waits for catchUpPeers peers before one is
+	// enough. Peers that do not answer may be dead, and while the platform is down their
+	// leases do not expire.
+	catchUpPeersTimeout = 10 * time.Second
+	// catchUpTimeout limits one call of CatchUp.
 	catchUpTimeout = 15 * time.Second
 
-	// leaveFanout is how many members a leaving node tells by itself.
+	// leaveFanout is the largest number of members that a leaving node notifies directly.
 	leaveFanout = 64
 )
 
-// extent is how much of its view a node sends.
-type extent uint8
+// payload is the part of its view that a node sends.
+type payload uint8
 
 const (
-	news      extent = iota // rows that changed lately
-	ownNews                 // the same, and the node's own row in any case
-	wholeView               // all rows
+	changedRows      payload = iota // rows that changed recently
+	changedAndOwnRow                // rows that changed recently, and always the node's own row
+	allRows                         // all rows
 )
 
-// peers holds the relay addresses of the other members present, as they were
-// at one edition of the view.
+// peers caches the relay addresses of the other members present in one generation of the
+// view.
 type peers struct {
-	edition uint64
-	all     []string
-	near    []string // those in the own data centre
-	far     []string // those in other regions
+	generation   uint64
+	all          []string
+	near         []string // addresses in the own data centre
+	otherRegions []string // addresses in other regions
 }
 
-// Controller keeps a View fresh. Its fields are set before its first use; its
+// Controller keeps a View up to date. Its fields must be set before its first use; its
 // methods are safe for concurrent use.
 type Controller struct {
-	// Send carries an exchange to the node at a relay address.
+	// Send performs an exchange with the node at a relay address.
 	Send func(ctx context.Context, address string, req *relaypb.ExchangeRequest) (*relaypb.ExchangeResponse, error)
-	// Store is the platform with the lease rows.
+	// Store is the platform's store, which holds the lease rows.
 	Store plat.Store
 	Clock clock.Clock
-	// Random draws from [0, 1).
+	// Random returns a random number in [0, 1).
 	Random func() float64
-	// Changed is called after the view changed. It may be nil.
+	// Changed is called after changes of the view, without the lock held. It may be nil.
 	Changed func()
 	Log     hclog.Logger
 
-	// Revision and Plans give what other packages have in force, and Heard
-	// what the node at a relay address has. They may be nil.
+	// Revision and Plans return the configuration revision and the owner plans in force at
+	// this node. Heard is called with those of the node at a relay address after each
+	// exchange. All three may be nil.
 	Revision func() int64
 	Plans    func() []*relaypb.PlanVersion
 	Heard    func(from string, revision int64, plans []*relaypb.PlanVersion)
-	// CatchUp is called before the node becomes ready, with the relay
-	// addresses of members, to learn the configuration in force. While it
-	// fails the node stays unready. It may be nil.
+	// CatchUp is called before the node becomes ready, with the relay addresses of members,
+	// to fetch the configuration in force. While CatchUp fails, the node stays unready. It
+	// may be nil.
 	CatchUp func(ctx context.Context, peers []string) error
-	// Go runs work that may wait for others; nil starts a goroutine.
+	// Go runs work that may block on other nodes. If Go is nil, the work runs in a new
+	// goroutine.
 	Go func(work func())
 
-	mu        sync.Mutex
-	view      *View
-	planNews  planNews
-	peers     peers
-	seeds     []string // relay addresses heard from before the view is ready
-	inFlight  int
-	changedAt time.Time // last change of the view
-	// mismatchFrom is since when no exchange found an equal view.
-	mismatchFrom time.Time
-	nextFull     time.Time
-	lastRound    time.Time
-	ready        bool
-	catchingUp   bool
-	unreadyFrom  time.Time
-	// answers holds the relay addresses of those that gave their whole view
-	// since the node was last unready.
-	answers map[string]bool
-
-	kick  chan struct{}
-	touch chan struct{}
-	lease lease
+	mu         sync.Mutex
+	view       *View
+	planGossip planGossip
+	peers      peers
+	seeds      []string // relay addresses that sent an exchange while the node was unready
+	inFlight   int
+	changedAt  time.Time // last change of the view
+	// mismatchSince is when exchanges began to find only different views; zero if the last
+	// one found an equal view.
+	mismatchSince time.Time
+	nextFullView  time.Time
+	lastRound     time.Time
+	ready         bool
+	catchingUp    bool
+	unreadySince  time.Time
+	// fullViewsFrom holds the relay addresses of the ready peers that have sent their full
+	// view since the node last became unready.
+	fullViewsFrom map[string]bool
+
+	roundRequests chan struct{}
+	leaseRequests chan struct{}
+	lease         lease
 }
 
-// New returns a controller for the node with that row.
+// New returns a controller for the node with the given row.
 func New(self Member, store plat.Store, clk clock.Clock, log hclog.Logger) *Controller {
 	return &Controller{
 		Store:  store,
@@ -139,17 +145,17 @@
 		Log:    log,
 		view:   NewView(self),
 
-		planNews: planNews{rows: make(map[string]planRow)},
+		planGossip: planGossip{rows: make(map[string]planState)},
 
-		unreadyFrom: clk.Now(),
-		answers:     make(map[string]bool),
+		unreadySince:  clk.Now(),
+		fullViewsFrom: make(map[string]bool),
 
-		kick:  make(chan struct{}, 1),
-		touch: make(chan struct{}, 1),
+		roundRequests: make(chan struct{}, 1),
+		leaseRequests: make(chan struct{}, 1),
 	}
 }
 
-// Run exchanges with others and keeps the lease until the context ends.
+// Run runs gossip rounds and renews the node's lease until the context ends.
 func (c *Controller) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { c.runLease(ctx) })
@@ -157,15 +163,15 @@
 		c.Round(ctx)
 		select {
 		case <-c.Clock.After(c.jitter(c.interval())):
-		case <-c.kick:
+		case <-c.roundRequests:
 		case <-ctx.Done():
 		}
 	}
 	loops.Wait()
 }
 
-// interval is the mean time to the next round. A node that is not ready has to
-// hear several others before it takes work, and goes round faster.
+// interval returns the mean time to the next round. A node that is not ready needs answers
+// from several peers before it accepts work, so it runs rounds more often.
 func (c *Controller) interval() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,14 +181,14 @@
 	return unreadyInterval
 }
 
-// Kick asks for a round at once.
+// Kick requests a round without delay.
 func (c *Controller) Kick() {
-	signal(c.kick)
+	signal(c.roundRequests)
 }
 
-// Ready says whether the view can be trusted: it is false from the start, and
-// after a freeze that outlasted the lease, until the view and the revision
-// have been learned anew.
+// Ready reports whether the view is reliable. It is false after the start, and after a
+// freeze of LeaseDuration or longer, until the node has caught up with the view and the
+// configuration revision.
 func (c *Controller) Ready() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,7 +202,8 @@
 	return c.view.Self()
 }
 
-// SetSelf changes the node's own row and spreads it.
+// SetSelf changes the node's own row, and requests a round and a renewal of the lease to
+// spread the change.
 func (c *Controller) SetSelf(change func(*Member)) {
 	c.mu.Lock()
 	before := c.view.Self().Version
@@ -209,19 +216,19 @@
 	if changed {
 		c.notify()
 		c.Kick()
-		signal(c.touch)
+		signal(c.leaseRequests)
 	}
 }
 
-// All returns the members that are neither gone nor lapsed, the node itself
-// among them.
+// All returns the members that are neither gone, nor lapsed, nor replaced by another
+// member at their address, including the node itself, sorted by name.
 func (c *Controller) All() []Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view.All(c.Clock.Now())
 }
 
-// Service returns those of All that stand beside targets of the service.
+// Service returns those of All that run beside targets of the service.
 func (c *Controller) Service(service string) []Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -242,15 +249,15 @@
 	return c.view.Hash()
 }
 
-// Leave spreads that the node is leaving: to every member when they are few,
-// else to a part of them that the next rounds multiply. It does not need the
-// platform. It returns once the members were told or the context ended.
+// Leave announces that the node is leaving, directly to every member in a small cluster,
+// or else to leaveFanout random members, whose next rounds spread the change. Leave does
+// not need the platform. It returns when the exchanges are done or the context has ended.
 func (c *Controller) Leave(ctx context.Context) {
 	c.announce(ctx, Leaving)
 }
 
-// Depart spreads that the node is gone, and deletes its lease row. It is the
-// last thing that a node does.
+// Depart announces that the node is gone and deletes its lease row. It is the last step of
+// a node's shutdown.
 func (c *Controller) Depart(ctx context.Context) {
 	c.announce(ctx, Gone)
 	c.deleteLease(ctx)
@@ -259,34 +266,34 @@
 func (c *Controller) announce(ctx context.Context, state State) {
 	c.SetSelf(func(self *Member) { self.State = state })
 	c.mu.Lock()
-	addresses := c.others()
+	addresses := c.peerAddresses()
 	c.mu.Unlock()
 	c.shuffle(addresses)
 	addresses = addresses[:min(len(addresses), leaveFanout)]
-	var told sync.WaitGroup
+	var exchanges sync.WaitGroup
 	for _, address := range addresses {
-		told.Add(1)
-		c.run(func() {
-			defer told.Done()
-			c.exchange(ctx, address, ownNews)
+		exchanges.Add(1)
+		c.runAsync(func() {
+			defer exchanges.Done()
+			c.exchange(ctx, address, changedAndOwnRow)
 		})
 	}
-	told.Wait()
+	exchanges.Wait()
 }
 
-// spawn runs an exchange unless too many wait already, as they do when members
-// are silent.
+// spawn runs an exchange, unless maxInFlight exchanges already await an answer, as happens
+// when members do not respond.
 func (c *Controller) spawn(work func()) {
 	c.mu.Lock()
-	full := c.inFlight >= maxInFlight
-	if !full {
+	limitReached := c.inFlight >= maxInFlight
+	if !limitReached {
 		c.inFlight++
 	}
 	c.mu.Unlock()
-	if full {
+	if limitReached {
 		return
 	}
-	c.run(func() {
+	c.runAsync(func() {
 		defer func() {
 			c.mu.Lock()
 			c.inFlight--
@@ -296,7 +303,7 @@
 	})
 }
 
-func (c *Controller) run(work func()) {
+func (c *Controller) runAsync(work func()) {
 	if c.Go != nil {
 		c.Go(work)
 		return
@@ -310,7 +317,7 @@
 	}
 }
 
-// jitter returns a time between half and one and a half of d.
+// jitter returns a random duration between 0.5 and 1.5 times d.
 func (c *Controller) jitter(d time.Duration) time.Duration {
 	return time.Duration((0.5 + c.Random()) * float64(d))
 }
@@ -318,6 +325,6 @@
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
-	default: // one is waiting already
+	default: // a signal is pending already
 	}
 }
--- a/internal/member/exchange.go
+++ b/internal/member/exchange.go
@@ -8,7 +8,8 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
-// Round does one round: it judges leases and exchanges with a few members.
+// Round runs one gossip round: it marks members whose leases have expired and exchanges
+// with a few members.
 func (c *Controller) Round(ctx context.Context) {
 	c.mu.Lock()
 	now := c.Clock.Now()
@@ -24,20 +25,20 @@
 		c.notify()
 	}
 	for _, address := range addresses {
-		c.spawn(func() { c.exchange(ctx, address, news) })
+		c.spawn(func() { c.exchange(ctx, address, changedRows) })
 	}
 }
 
-// Answer is the server's side of an exchange.
+// Answer handles the server's side of an exchange.
 func (c *Controller) Answer(req *relaypb.ExchangeRequest) *relaypb.ExchangeResponse {
-	revision, plans := c.inForce()
+	revision, plans := c.localVersions()
 	rows := fromWire(req.GetDeltas())
-	// A sender whose rows add up to its hash has sent all that it has, and is
-	// answered with just what it lacks.
-	whole := len(rows) > 1 && HashRows(rows) == req.GetViewHash()
+	// If the hash of the rows equals the sender's view hash, the sender has sent its full
+	// view, and the answer carries only the rows that it lacks.
+	isFullView := len(rows) > 1 && HashRows(rows) == req.GetViewHash()
 	c.mu.Lock()
 	now := c.Clock.Now()
-	changed := c.take(now, req.GetFrom(), req.GetRevision(), rows)
+	changed := c.applyExchange(now, req.GetFrom(), req.GetRevision(), rows)
 	if !c.ready && !slices.Contains(c.seeds, req.GetFrom()) {
 		c.seeds = append(c.seeds, req.GetFrom())
 	}
@@ -50,19 +51,20 @@
 	switch {
 	case req.GetWantFull():
 		resp.Deltas = toWire(c.view.Full(now))
-	case whole:
-		resp.Deltas = toWire(lacking(rows, c.view.Full(now)))
+	case isFullView:
+		resp.Deltas = toWire(missingRows(rows, c.view.Full(now)))
 	default:
 		resp.Deltas = toWire(c.view.Deltas(now))
 	}
 	c.mu.Unlock()
-	c.after(changed, req.GetFrom(), req.GetRevision(), req.GetPlans())
+	c.runHooks(changed, req.GetFrom(), req.GetRevision(), req.GetPlans())
 	return resp
 }
 
-// exchange swaps news, or whole views, with the node at the address. If news
-// alone does not make the views equal, the whole view follows.
-func (c *Controller) exchange(ctx context.Context, address string, sent extent) {
+// exchange swaps changed rows, or full views, with the node at the address. If the views
+// still differ after changed rows were sent, or the peer asks for it, the full view
+// follows.
+func (c *Controller) exchange(ctx context.Context, address string, sent payload) {
 	req := c.request(sent)
 	sendCtx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
@@ -73,22 +75,22 @@
 	}
 	c.mu.Lock()
 	now := c.Clock.Now()
-	changed := c.take(now, address, resp.GetRevision(), fromWire(resp.GetDeltas()))
-	differs := c.compare(now, resp.GetViewHash())
+	changed := c.applyExchange(now, address, resp.GetRevision(), fromWire(resp.GetDeltas()))
+	differs := c.diverged(now, resp.GetViewHash())
 	if req.GetWantFull() && !resp.GetWantFull() {
-		c.answers[address] = true // an unready peer's view counts for nothing
+		c.fullViewsFrom[address] = true // the view of an unready peer does not count
 	}
-	wanted := (resp.GetWantFull() || differs) && sent != wholeView && c.allowFull(now)
+	sendFullView := (resp.GetWantFull() || differs) && sent != allRows && c.allowFullView(now)
 	c.mu.Unlock()
-	c.after(changed, address, resp.GetRevision(), resp.GetPlans())
-	if wanted {
-		c.exchange(ctx, address, wholeView)
+	c.runHooks(changed, address, resp.GetRevision(), resp.GetPlans())
+	if sendFullView {
+		c.exchange(ctx, address, allRows)
 	}
 	c.becomeReady(ctx, false)
 }
 
-func (c *Controller) request(sent extent) *relaypb.ExchangeRequest {
-	revision, plans := c.inForce()
+func (c *Controller) request(sent payload) *relaypb.ExchangeRequest {
+	revision, plans := c.localVersions()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Clock.Now()
@@ -98,12 +100,12 @@
 	}
 	rows := c.view.Deltas(now)
 	switch sent {
-	case ownNews:
+	case changedAndOwnRow:
 		self := c.view.Self()
 		if !slices.Contains(rows, self) {
 			rows = append(rows, self)
 		}
-	case wholeView:
+	case allRows:
 		rows = c.view.Full(now)
 	}
 	return &relaypb.ExchangeRequest{
@@ -112,22 +114,24 @@
 		ViewHash: c.view.Hash(),
 		Revision: revision,
 		WantFull: !c.ready,
-		Plans:    c.planNews.pick(plans, Rounds(len(c.view.entries))),
+		Plans:    c.planGossip.pick(plans, RetransmitLimit(len(c.view.entries))),
 	}
 }
 
-// take merges what a node sent, and returns whether the view changed.
-func (c *Controller) take(now time.Time, from string, revision int64, rows []Member) bool {
+// applyExchange merges the rows and the revision that a node sent, and reports whether the
+// view changed.
+func (c *Controller) applyExchange(now time.Time, from string, revision int64, rows []Member) bool {
 	changed := c.view.Merge(now, rows)
 	c.logChanged(changed)
 	if len(changed) > 0 {
 		c.changedAt = now
 	}
-	ended := c.view.Heard(now, from, revision)
-	return len(changed) > 0 || ended
+	lapseEnded := c.view.Contacted(now, from, revision)
+	return len(changed) > 0 || lapseEnded
 }
 
-// logChanged tells when news reached this node, for finding out how it spread.
+// logChanged logs when changed rows reached this node, so that their spread through the
+// cluster can be traced.
 func (c *Controller) logChanged(rows []Member) {
 	if !c.Log.IsDebug() {
 		return
@@ -137,8 +141,8 @@
 	}
 }
 
-// after calls the hooks, without the lock held.
-func (c *Controller) after(changed bool, from string, revision int64, plans []*relaypb.PlanVersion) {
+// runHooks calls Changed and Heard. The caller must not hold the lock.
+func (c *Controller) runHooks(changed bool, from string, revision int64, plans []*relaypb.PlanVersion) {
 	if changed {
 		c.notify()
 	}
@@ -147,92 +151,92 @@
 	}
 }
 
-// compare says whether another's view differs in a way that news under way
-// will not end.
-func (c *Controller) compare(now time.Time, other uint64) bool {
+// diverged records the result of comparing the view hash with a peer's, and reports
+// whether the views differ in a way that deltas still in flight will not resolve.
+func (c *Controller) diverged(now time.Time, other uint64) bool {
 	if other == c.view.Hash() {
-		c.mismatchFrom = time.Time{}
+		c.mismatchSince = time.Time{}
 		return false
 	}
-	if c.mismatchFrom.IsZero() {
-		c.mismatchFrom = now
+	if c.mismatchSince.IsZero() {
+		c.mismatchSince = now
 	}
-	return now.Sub(c.changedAt) >= settleTime || now.Sub(c.mismatchFrom) >= unsettledTime
+	return now.Sub(c.changedAt) >= quietPeriod || now.Sub(c.mismatchSince) >= mismatchLimit
 }
 
-func (c *Controller) allowFull(now time.Time) bool {
-	if now.Before(c.nextFull) {
+func (c *Controller) allowFullView(now time.Time) bool {
+	if now.Before(c.nextFullView) {
 		return false
 	}
 	members := time.Duration(len(c.view.entries))
-	c.nextFull = now.Add(max(fullInterval, members*fullPerMember))
+	c.nextFullView = now.Add(max(minFullViewInterval, members*fullViewIntervalPerMember))
 	return true
 }
 
-// pickPeers chooses the addresses for one round: one member of the own data
-// centre and one of all, or of another region in a share of the rounds. While
-// the node knows nobody it answers those that found it, and looks for those that
-// were there before.
+// pickPeers selects the addresses for one round: one member of the own data centre, and
+// one of all members or, in a share of the rounds, of another region. A quiescent node
+// contacts only one of the two. While the node knows no other members, it contacts those
+// that sent it an exchange and probes one that has lapsed or is recently gone.
 func (c *Controller) pickPeers() []string {
 	c.refreshPeers()
-	all, near, wide := c.peers.all, c.peers.near, c.peers.all
+	all, near, candidates := c.peers.all, c.peers.near, c.peers.all
 	if len(all) == 0 {
-		absent := append(c.view.Lapsed(), c.view.Left(c.Clock.Now())...)
-		return c.withOne(slices.Clone(c.seeds), absent)
+		absent := append(c.view.Lapsed(), c.view.RecentlyGone(c.Clock.Now())...)
+		return c.appendRandom(slices.Clone(c.seeds), absent)
 	}
 	if len(near) == 0 {
 		near = all
 	}
-	if len(c.peers.far) > 0 && c.Random() < farShare {
-		wide = c.peers.far
+	if len(c.peers.otherRegions) > 0 && c.Random() < crossRegionShare {
+		candidates = c.peers.otherRegions
 	}
 	addresses := make([]string, 0, roundPeers+2)
-	if c.settled() {
-		// Whoever has news comes by itself.
-		near = c.either(near, wide)
+	if c.quiescent() {
+		// Nodes that have changes contact this node on their own.
+		near = c.pickEither(near, candidates)
 	}
-	addresses = append(addresses, c.choose(near))
-	if second := c.choose(wide); second != addresses[0] && !c.settled() {
+	addresses = append(addresses, c.pickRandom(near))
+	if second := c.pickRandom(candidates); second != addresses[0] && !c.quiescent() {
 		addresses = append(addresses, second)
 	}
 	if c.Random() < min(lapsedShare, lapsedRate/float64(len(all))) {
-		addresses = c.withOne(addresses, c.view.Lapsed())
+		addresses = c.appendRandom(addresses, c.view.Lapsed())
 	}
-	if c.Random() < leftRate/float64(len(all)) {
-		addresses = c.withOne(addresses, c.view.Left(c.Clock.Now()))
+	if c.Random() < recentlyGoneRate/float64(len(all)) {
+		addresses = c.appendRandom(addresses, c.view.RecentlyGone(c.Clock.Now()))
 	}
 	return addresses
 }
 
-// settled says whether this node has had no news for a while, and agreed with the last
-// node that it heard.
-func (c *Controller) settled() bool {
-	return c.ready && c.mismatchFrom.IsZero() && c.Clock.Now().Sub(c.changedAt) >= settleTime
+// quiescent reports whether the node is ready, its view has not changed for quietPeriod,
+// and the last peer that answered an exchange had an equal view.
+func (c *Controller) quiescent() bool {
+	return c.ready && c.mismatchSince.IsZero() && c.Clock.Now().Sub(c.changedAt) >= quietPeriod
 }
 
-// either returns one of two lists.
-func (c *Controller) either(one, other []string) []string {
+// pickEither returns one of two lists at random.
+func (c *Controller) pickEither(one, other []string) []string {
 	if c.Random() < 0.5 {
 		return one
 	}
 	return other
 }
 
-// withOne adds the address of one of the members, if there are any.
-func (c *Controller) withOne(addresses []string, members []Member) []string {
+// appendRandom appends the address of a random member of the list, if there is one.
+func (c *Controller) appendRandom(addresses []string, members []Member) []string {
 	if len(members) == 0 {
 		return addresses
 	}
-	return append(addresses, members[c.index(len(members))].RelayAddress)
+	return append(addresses, members[c.randomIndex(len(members))].RelayAddress)
 }
 
 func (c *Controller) refreshPeers() {
-	if c.peers.edition == c.view.edition {
+	if c.peers.generation == c.view.generation {
 		return
 	}
 	self := c.view.Self()
-	next := peers{edition: c.view.edition}
-	for _, name := range c.view.names() {
+	next := peers{generation: c.view.generation}
+	for _, name := range c.view.presentNames() {
 		row := &c.view.entries[name].row
 		if name == self.Name {
 			continue
@@ -242,19 +246,19 @@
 			next.near = append(next.near, row.RelayAddress)
 		}
 		if row.Region != self.Region {
-			next.far = append(next.far, row.RelayAddress)
+			next.otherRegions = append(next.otherRegions, row.RelayAddress)
 		}
 	}
 	c.peers = next
 }
 
-// others returns the relay addresses of the other members present.
-func (c *Controller) others() []string {
+// peerAddresses returns the relay addresses of the other members present.
+func (c *Controller) peerAddresses() []string {
 	c.refreshPeers()
 	return slices.Clone(c.peers.all)
 }
 
-func (c *Controller) inForce() (int64, []*relaypb.PlanVersion) {
+func (c *Controller) localVersions() (int64, []*relaypb.PlanVersion) {
 	var revision int64
 	var plans []*relaypb.PlanVersion
 	if c.Revision != nil {
@@ -266,31 +270,31 @@
 	return revision, plans
 }
 
-func (c *Controller) choose(addresses []string) string {
-	return addresses[c.index(len(addresses))]
+func (c *Controller) pickRandom(addresses []string) string {
+	return addresses[c.randomIndex(len(addresses))]
 }
 
-func (c *Controller) index(n int) int {
+func (c *Controller) randomIndex(n int) int {
 	return min(int(c.Random()*float64(n)), n-1)
 }
 
 func (c *Controller) shuffle(addresses []string) {
 	for i := len(addresses) - 1; i > 0; i-- {
-		j := c.index(i + 1)
+		j := c.randomIndex(i + 1)
 		addresses[i], addresses[j] = addresses[j], addresses[i]
 	}
 }
 
-// lacking returns the rows of ours that are newer than theirs.
-func lacking(theirs, ours []Member) []Member {
+// missingRows returns the rows of ours that theirs lacks or has in an older version.
+func missingRows(theirs, ours []Member) []Member {
 	known := make(map[string]Member, len(theirs))
 	for _, row := range theirs {
 		known[row.Name] = row
 	}
 	var rows []Member
 	for _, row := range ours {
-		their, ok := known[row.Name]
-		if !ok || newer(row, their) {
+		other, ok := known[row.Name]
+		if !ok || newer(row, other) {
 			rows = append(rows, row)
 		}
 	}
--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -10,39 +10,39 @@
 	"github.com/dandelionfield/dandelionfield/internal/plat"
 )
 
-// The table's load at 530 nodes: 530/10 s = 53 writes/s for the leases and
-// 530/15 s = 35 reads/s for the listings, of several hundred and about two
-// thousand.
+// With 530 nodes the load on the table is 530/10 s = 53 writes/s for the leases and
+// 530/15 s = 35 reads/s for the listings. The platform allows several hundred writes/s and
+// about two thousand reads/s.
 const (
 	renewInterval = 10 * time.Second
 	listInterval  = 15 * time.Second
-	// firstListInterval is how soon a node that has just started lists again.
-	// The interval grows with the node's age, since nodes that start together
-	// find each other's rows missing at first.
+	// firstListInterval is the time between the first two listings of a node. The interval
+	// grows with the node's age up to listInterval. It is short at first because nodes that
+	// start together do not find each other's rows in their first listings.
 	firstListInterval = 500 * time.Millisecond
-	// retryInterval is the wait after the platform failed. It is jittered, so
-	// that nodes do not greet a returning platform together.
+	// retryInterval is the mean delay after a failed request to the platform. It is
+	// jittered, so that nodes do not all contact a recovering platform at the same time.
 	retryInterval = 4 * time.Second
-	// storeTimeout bounds one operation on the table.
+	// storeTimeout limits one operation on the table.
 	storeTimeout = 5 * time.Second
 
 	leaseTable = "members"
 )
 
-// lease is what a controller remembers of the table. Only the lease loop and
-// Depart use it, under mu of the controller where both may.
+// lease is what a controller keeps about the table. Only the lease loop and Depart
+// use it; Controller.mu guards the fields that both may use at once.
 type lease struct {
-	listed  int64 // version up to which the table was read
-	version int64 // version of the node's own row, 0 while there is none
-	writes  int   // numbers the node's writes
+	listedVersion int64 // version up to which the table was read
+	rowVersion    int64 // version of the node's own row, 0 while it does not exist
+	writeCount    int   // sequence number of the node's writes, part of the write ID
 }
 
-// Refresh reads what changed in the table since the last time.
+// Refresh reads the rows of the table that changed since the last call.
 func (c *Controller) Refresh(ctx context.Context) error {
 	listCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	c.mu.Lock()
-	since := c.lease.listed
+	since := c.lease.listedVersion
 	c.mu.Unlock()
 	rows, version, err := c.Store.List(listCtx, leaseTable, since)
 	if err != nil {
@@ -54,9 +54,9 @@
 	c.view.PlatformUp(now)
 	changed := false
 	for _, row := range rows {
-		changed = c.takeRow(now, row) || changed
+		changed = c.applyLeaseRow(now, row) || changed
 	}
-	c.lease.listed = max(c.lease.listed, version)
+	c.lease.listedVersion = max(c.lease.listedVersion, version)
 	c.mu.Unlock()
 	if changed {
 		c.notify()
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// Renew writes the node's own lease row. On a conflict it learns which row is
-// there, and writes over one of an earlier incarnation.
+// Renew writes the node's own lease row. On a conflict it reads the current row, and
+// overwrites that row unless it belongs to a later incarnation.
 func (c *Controller) Renew(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -93,10 +93,10 @@
 		now := c.Clock.Now()
 		if !now.Before(nextList) {
 			interval := min(max(firstListInterval, now.Sub(started)), listInterval)
-			nextList = now.Add(c.pause(c.Refresh(ctx), interval))
+			nextList = now.Add(c.nextDelay(c.Refresh(ctx), interval))
 		}
 		if !now.Before(nextRenew) {
-			nextRenew = now.Add(c.pause(c.Renew(ctx), renewInterval))
+			nextRenew = now.Add(c.nextDelay(c.Renew(ctx), renewInterval))
 			c.deleteExpired(ctx)
 		}
 		next := nextRenew
@@ -105,7 +105,7 @@
 		}
 		select {
 		case <-c.Clock.After(next.Sub(now)):
-		case <-c.touch:
+		case <-c.leaseRequests:
 			nextRenew = now
 			if !c.Ready() {
 				nextList = now
@@ -115,17 +115,17 @@
 	}
 }
 
-// pause returns the time to the next use of the platform. The first listing
-// is followed by a random part of the interval, which spreads nodes that
-// started together.
-func (c *Controller) pause(err error, interval time.Duration) time.Duration {
+// nextDelay returns the time until the next request to the platform: the jittered
+// retryInterval after an error, else the interval with a jitter of 10 % either way, which
+// spreads the requests of nodes that started together.
+func (c *Controller) nextDelay(err error, interval time.Duration) time.Duration {
 	if err != nil {
 		return c.jitter(retryInterval)
 	}
 	return time.Duration((0.9 + 0.2*c.Random()) * float64(interval))
 }
 
-func (c *Controller) takeRow(now time.Time, row plat.Row) bool {
+func (c *Controller) applyLeaseRow(now time.Time, row plat.Row) bool {
 	if len(row.Value) == 0 {
 		member, gone := c.view.Deleted(now, row.Key, row.Version)
 		if gone {
@@ -139,27 +139,27 @@
 		return false
 	}
 	if member.Name == c.view.name {
-		c.lease.version = max(c.lease.version, row.Version)
+		c.lease.rowVersion = max(c.lease.rowVersion, row.Version)
 	}
 	changed := c.view.Merge(now, []Member{member})
 	c.logChanged(changed)
 	if len(changed) > 0 {
 		c.changedAt = now
 	}
-	ended := c.view.Renewed(now, member, row.Version)
-	return len(changed) > 0 || ended
+	lapseEnded := c.view.Renewed(now, member, row.Version)
+	return len(changed) > 0 || lapseEnded
 }
 
 func (c *Controller) writeLease(ctx context.Context, remove bool) error {
 	c.mu.Lock()
-	c.lease.writes++
+	c.lease.writeCount++
 	self := c.view.Self()
 	if self.State == Gone && !remove {
 		c.mu.Unlock()
-		return nil // the row is deleted, or about to be
+		return nil // Depart deletes the row or has deleted it
 	}
-	change := plat.Change{Key: self.Name, Expected: c.lease.version, Delete: remove}
-	id := self.Incarnation + "-" + strconv.Itoa(c.lease.writes)
+	change := plat.Change{Key: self.Name, Expected: c.lease.rowVersion, Delete: remove}
+	id := self.Incarnation + "-" + strconv.Itoa(c.lease.writeCount)
 	c.mu.Unlock()
 	if !remove {
 		value, err := encodeRow(self)
@@ -168,12 +168,12 @@
 		}
 		change.Value = value
 	}
-	version, err := c.Store.Commit(ctx, plat.Write{Table: leaseTable, ID: id, Changes: []plat.Change{change}})
+	rowVersion, err := c.Store.Commit(ctx, plat.Write{Table: leaseTable, ID: id, Changes: []plat.Change{change}})
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
-	c.lease.version = max(c.lease.version, version)
+	c.lease.rowVersion = max(c.lease.rowVersion, rowVersion)
 	c.mu.Unlock()
 	return nil
 }
@@ -188,9 +188,9 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lease.version = row.Version
+	c.lease.rowVersion = row.Version
 	if row.Version > 0 {
-		c.takeRow(c.Clock.Now(), row)
+		c.applyLeaseRow(c.Clock.Now(), row)
 	}
 	return nil
 }
@@ -200,7 +200,7 @@
 	defer cancel()
 	err := c.writeLease(ctx, true)
 	if errorx.IsOfType(err, plat.Conflict) {
-		// A renewal was on its way, or a later incarnation holds the row.
+		// A renewal was in flight, or a later incarnation owns the row.
 		if err = c.readLease(ctx); err != nil {
 			return
 		}
@@ -214,13 +214,13 @@
 	}
 }
 
-// deleteExpired deletes the row of a member that lapsed long ago. If the member
-// has renewed since, the delete conflicts and has no effect.
+// deleteExpired deletes the lease row of a member that lapsed at least lapsedRowRetention
+// ago. If the member has renewed since, the delete conflicts and has no effect.
 func (c *Controller) deleteExpired(ctx context.Context) {
 	c.mu.Lock()
 	member, version, ok := c.view.Expired(c.Clock.Now())
-	c.lease.writes++
-	id := c.view.Self().Incarnation + "-" + strconv.Itoa(c.lease.writes)
+	c.lease.writeCount++
+	id := c.view.Self().Incarnation + "-" + strconv.Itoa(c.lease.writeCount)
 	c.mu.Unlock()
 	if !ok {
 		return
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,8 +1,8 @@
-// Package member knows which nodes are there.
+// Package member implements the membership protocol of the nodes.
 //
-// View is the pure part: a set of rows, one per node name, that merges by
-// rules which give the same result in any order. Controller keeps a View fresh
-// by exchanges with other nodes and by lease rows in the platform's table.
+// View is a data structure without I/O: a set of rows, one per node name, with a merge
+// that is commutative, associative and idempotent. Controller keeps a View up to date by
+// gossip exchanges with other nodes and by lease rows in a table of the platform.
 package member
 
 import (
@@ -11,34 +11,35 @@
 )
 
 const (
-	// LeaseDuration is how long a member counts as present after the last
-	// sign of it, while the platform is up.
+	// LeaseDuration is how long a member counts as present after the last contact with the
+	// member or renewal of its lease, while the platform is up.
 	LeaseDuration = 30 * time.Second
 
-	// goneKept is how long a Gone row shields against stale rows. It is longer
-	// than a partition of regions lasts.
-	goneKept = 2 * time.Hour
-	// goneSent is how long a Gone row is handed on, half of goneKept so that
-	// nodes do not keep refreshing it in each other.
-	goneSent = goneKept / 2
-	// returnTime is how long a member that went is looked for at its address.
-	returnTime = time.Minute
-	// lapsedKept is how long a lapsed member stays in the table.
-	lapsedKept = 10 * time.Minute
-	// deltaRows bounds the rows of one message.
-	deltaRows = 64
+	// tombstoneRetention is how long a view keeps a Gone row, so that stale rows do not
+	// bring the member back. It is longer than a partition between regions lasts.
+	tombstoneRetention = 2 * time.Hour
+	// tombstoneSendPeriod is how long a node sends a Gone row to others. It is half of
+	// tombstoneRetention, so that nodes do not keep refreshing the row in each other.
+	tombstoneSendPeriod = tombstoneRetention / 2
+	// recentlyGonePeriod is how long nodes go on probing the address of a member that is
+	// gone, in case it restarts there.
+	recentlyGonePeriod = time.Minute
+	// lapsedRowRetention is how long the lease row of a lapsed member stays in the table.
+	lapsedRowRetention = 10 * time.Minute
+	// maxDeltaRows limits the changed rows in one message.
+	maxDeltaRows = 64
 )
 
 type (
-	// State is where a node is in its life.
+	// State is a node's stage between start and departure.
 	State uint8
 
-	// Member is the row of one node. Only the node itself raises its version.
+	// Member is the row of one node. Only the node itself increments its version.
 	Member struct {
 		Name        string
 		Incarnation string
-		// StartedMS is the start of the incarnation in Unix milliseconds. It
-		// orders the incarnations of one name.
+		// StartedMS is when the incarnation started, in Unix milliseconds. It orders the
+		// incarnations of one name.
 		StartedMS     int64
 		Version       uint64
 		RelayAddress  string
@@ -47,8 +48,8 @@
 		DataCentre    string
 		Region        string
 		Service       string
-		// TargetID names the process of the target, where targets announce
-		// themselves, and TargetSlots the slots that it announced.
+		// TargetID identifies the process of the target, if targets announce themselves, and
+		// TargetSlots is the number of slots that the target announced.
 		TargetID    string
 		TargetSlots int
 		State       State
@@ -56,35 +57,34 @@
 		Revision int64
 	}
 
-	// View is what one node knows of all nodes. It is not safe for concurrent
-	// use and reads no clock.
+	// View is what one node knows of all nodes. It is not safe for concurrent use. It reads
+	// no clock: callers pass the time.
 	View struct {
-		name       string
-		entries    map[string]*entry
-		present    []string // sorted names of the members neither gone nor lapsed
-		dirty      bool     // present must be made anew
-		edition    uint64   // counts what could change present
-		hash       uint64
-		settled    bool // a later row of our own name is another process
-		superseded *Member
-		// leasesFrom is since when leases are judged; zero while the platform
-		// is down.
-		leasesFrom time.Time
+		name         string
+		entries      map[string]*entry
+		present      []string // sorted names of the members present, as All lists them
+		dirty        bool     // present must be rebuilt
+		generation   uint64   // incremented by every change that could affect present
+		hash         uint64
+		startupEnded bool // a later row of the own name belongs to another process
+		superseded   *Member
+		// expiryFrom is when lease expiry starts to apply; zero while the platform is down.
+		expiryFrom time.Time
 	}
 
 	entry struct {
-		row    Member
-		hash   uint64
-		heard  time.Time
-		lapsed time.Time // zero while the lease holds
-		gone   time.Time // zero unless the row is Gone
-		sends  int       // messages that are still to carry the row
-		table  int64     // platform version of the lease row, 0 if never seen
+		row          Member
+		hash         uint64
+		lastSeen     time.Time
+		lapsed       time.Time // zero while the lease is valid
+		gone         time.Time // zero unless the row is Gone
+		sendsLeft    int       // number of further messages that will carry the row
+		leaseVersion int64     // platform version of the lease row, 0 if never read
 	}
 )
 
-// The states in the order of a node's life. Of two rows that are otherwise
-// alike the later state wins.
+// The states in the order in which a node passes through them. Of two rows that are
+// otherwise equal the one with the later state wins.
 const (
 	Starting State = iota
 	Cold
@@ -93,7 +93,7 @@
 	Gone
 )
 
-// String returns the state as it appears in logs and the resource API.
+// String returns the name of the state in logs and in the resource API.
 func (s State) String() string {
 	if s > Gone {
 		return "unknown"
@@ -109,19 +109,19 @@
 	return v
 }
 
-// Merge takes in rows from others and returns those that changed the view.
-// Per name the later start wins, then the higher version, so the result does
-// not depend on the order in which rows arrive.
+// Merge adds rows received from others and returns those that changed the view. Per name
+// the later start wins, then the higher version, so the result does not depend on the
+// order in which rows arrive.
 func (v *View) Merge(now time.Time, rows []Member) (changed []Member) {
 	for _, row := range rows {
 		if row.Name == v.name {
-			v.mergeOwn(now, row)
+			v.mergeSelf(now, row)
 			continue
 		}
 		known := v.entries[row.Name]
 		if known != nil && known.row.Incarnation == row.Incarnation && known.row.StartedMS == row.StartedMS {
-			// The revision only rises and is no part of the version, see
-			// SetSelf, so the higher one holds whichever row wins.
+			// The revision only increases and does not change the version, see SetSelf, so
+			// the higher revision is kept whichever row wins.
 			known.row.Revision = max(known.row.Revision, row.Revision)
 			row.Revision = known.row.Revision
 		}
@@ -139,10 +139,10 @@
 	return v.entries[v.name].row
 }
 
-// SetSelf changes the node's own row and raises its version, unless nothing
-// changed. A new revision alone does not raise it: one configuration would
-// otherwise send 530 rows through every node. It travels with the lease row
-// and with the messages of the node itself.
+// SetSelf changes the node's own row and increments its version, unless nothing changed.
+// A new revision alone does not increment the version, because every new configuration
+// would then spread 530 rows (in a cluster of 530 nodes) through every node. Others learn
+// the revision from the lease row and from the node's own messages.
 func (v *View) SetSelf(now time.Time, change func(*Member)) {
 	row := v.Self()
 	before := row
@@ -156,19 +156,19 @@
 	v.put(now, row)
 }
 
-// All returns the members that are neither gone, lapsed nor replaced by another at
-// their address, by name, with the node itself.
+// All returns the members that are neither gone, nor lapsed, nor replaced by another
+// member at their address, including the node itself, sorted by name.
 func (v *View) All(_ time.Time) []Member {
-	names := v.names()
-	members := make([]Member, len(names))
-	for i, name := range names {
+	presentNames := v.presentNames()
+	members := make([]Member, len(presentNames))
+	for i, name := range presentNames {
 		members[i] = v.entries[name].row
 	}
 	return members
 }
 
-// Service returns the members beside targets of the service that are neither
-// gone nor lapsed, by name. Those in state Leaving are among them.
+// Service returns those of All that run beside targets of the service, sorted by name.
+// Members in state Leaving are included.
 func (v *View) Service(now time.Time, service string) []Member {
 	var members []Member
 	for _, member := range v.All(now) {
@@ -179,15 +179,16 @@
 	return members
 }
 
-// Settle ends the start of the node. Until then, a later row of its own name
-// is taken for a former incarnation whose clock was ahead, and the node moves
-// its start behind it; from then on it is a later incarnation.
-func (v *View) Settle() {
-	v.settled = true
+// EndStartup marks the end of the node's start. Until then, a later row of the node's own
+// name is taken for an earlier incarnation whose clock was ahead, and the node raises its
+// own start time above that of the row. Afterwards such a row is a later incarnation,
+// which supersedes the node.
+func (v *View) EndStartup() {
+	v.startupEnded = true
 }
 
-// Superseded returns the later incarnation of the node's own name, if one has
-// been heard of. The node must then end its calls and stop.
+// Superseded returns the later incarnation of the node's own name, if one is known. The
+// node must then finish its calls and stop.
 func (v *View) Superseded() (Member, bool) {
 	if v.superseded == nil {
 		return Member{}, false
@@ -195,18 +196,19 @@
 	return *v.superseded, true
 }
 
-func (v *View) mergeOwn(now time.Time, row Member) {
+func (v *View) mergeSelf(now time.Time, row Member) {
 	self := v.Self()
 	if !newer(row, self) {
 		return
 	}
 	switch {
 	case row.Incarnation == self.Incarnation:
-		// Others hold a row of ours that we do not know: they took us for
-		// gone, or we lost count. A higher version of the truth overrides it.
+		// Others have a row of this incarnation that is newer than our own: they
+		// considered this node gone, or this node lost count of its versions. Resend the
+		// actual row with a higher version, which overrides theirs.
 		self.Version = row.Version + 1
 		v.put(now, self)
-	case !v.settled:
+	case !v.startupEnded:
 		self.StartedMS = row.StartedMS + 1
 		v.put(now, self)
 	default:
@@ -221,29 +223,29 @@
 		v.entries[row.Name] = e
 	}
 	if e.row.Incarnation != row.Incarnation {
-		e.table = 0
+		e.leaseVersion = 0
 	}
 	v.hash -= e.hash
 	e.row = row
 	e.hash = hashRow(row)
 	v.hash += e.hash
-	e.heard = now
+	e.lastSeen = now
 	e.lapsed = time.Time{}
 	e.gone = time.Time{}
 	if row.State == Gone {
 		e.gone = now
 	}
-	e.sends = Rounds(len(v.entries))
-	v.alter()
+	e.sendsLeft = RetransmitLimit(len(v.entries))
+	v.markChanged()
 }
 
-func (v *View) alter() {
+func (v *View) markChanged() {
 	v.dirty = true
-	v.edition++
+	v.generation++
 }
 
-// lastAtAddress returns the member that started last at each relay address.
-func (v *View) lastAtAddress() map[string]*entry {
+// latestByAddress returns the member that started last at each relay address.
+func (v *View) latestByAddress() map[string]*entry {
 	last := make(map[string]*entry, len(v.entries))
 	for _, e := range v.entries {
 		address := e.row.RelayAddress
@@ -254,24 +256,24 @@
 	return last
 }
 
-// replacedBy says whether the last member at the address has taken this one's place:
-// its host was replaced, although its lease has not run out. That holds also once
-// the last one is gone, unless there was a sign of life after that; then it was a
-// predecessor whose clock was ahead.
+// replacedBy reports whether the host of the member was replaced, although its lease has
+// not run out: last, the member that started last at the same address, has a later start
+// time. This also holds after last is gone. If however the member was seen after last was
+// gone, then last was a predecessor whose clock was ahead.
 func (e *entry) replacedBy(last *entry) bool {
 	if last == nil || e.row.StartedMS >= last.row.StartedMS {
 		return false
 	}
-	return last.row.State != Gone || !e.heard.After(last.gone)
+	return last.row.State != Gone || !e.lastSeen.After(last.gone)
 }
 
-func (v *View) names() []string {
+func (v *View) presentNames() []string {
 	if !v.dirty {
 		return v.present
 	}
 	v.dirty = false
 	v.present = v.present[:0]
-	last := v.lastAtAddress()
+	last := v.latestByAddress()
 	for name, e := range v.entries {
 		if e.row.State != Gone && e.lapsed.IsZero() && (name == v.name || !e.replacedBy(last[e.row.RelayAddress])) {
 			v.present = append(v.present, name)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -18,7 +18,7 @@
 
 var start = time.UnixMilli(1_700_000_000_000)
 
-// TestView runs the scripts in testdata/view. A row is written as
+// TestView runs the scripts in testdata/view. The format of a row is
 // name/incarnation/started/version/state.
 func TestView(t *testing.T) {
 	datadriven.Walk(t, "testdata/view", func(t *testing.T, path string) {
@@ -28,11 +28,11 @@
 			lines := strings.Fields(d.Input)
 			switch d.Cmd {
 			case "merge":
-				return show(view.Merge(now, parseRows(t, lines)))
+				return formatRows(view.Merge(now, parseRows(t, lines)))
 			case "all":
-				return show(view.All(now))
+				return formatRows(view.All(now))
 			case "self":
-				return show([]member.Member{view.Self()})
+				return formatRows([]member.Member{view.Self()})
 			case "pass":
 				var text string
 				d.ScanArgs(t, "time", &text)
@@ -41,7 +41,7 @@
 					t.Fatal(err)
 				}
 				now = now.Add(passed)
-				return "lapsed:\n" + show(view.Lapse(now))
+				return "lapsed:\n" + formatRows(view.Lapse(now))
 			case "platform":
 				if d.HasArg("up") {
 					view.PlatformUp(now)
@@ -63,17 +63,17 @@
 				if !gone {
 					return "kept\n"
 				}
-				return show([]member.Member{row})
-			case "settle":
-				view.Settle()
+				return formatRows([]member.Member{row})
+			case "end-startup":
+				view.EndStartup()
 			case "superseded":
 				row, superseded := view.Superseded()
 				if !superseded {
 					return "no\n"
 				}
-				return show([]member.Member{row})
+				return formatRows([]member.Member{row})
 			case "deltas":
-				return show(view.Deltas(now))
+				return formatRows(view.Deltas(now))
 			default:
 				t.Fatalf("unknown command %s", d.Cmd)
 			}
@@ -107,7 +107,7 @@
 	return member.Member{Name: part[0], Incarnation: part[1], StartedMS: started, Version: version, State: state}
 }
 
-func show(rows []member.Member) string {
+func formatRows(rows []member.Member) string {
 	var text strings.Builder
 	for _, row := range rows {
 		fmt.Fprintf(&text, "%s/%s/%d/%d/%s\n", row.Name, row.Incarnation, row.StartedMS, row.Version, row.State)
@@ -129,7 +129,7 @@
 	}
 }
 
-func merged(rows ...[]member.Member) *member.View {
+func mergedView(rows ...[]member.Member) *member.View {
 	view := member.NewView(member.Member{Name: "self", Incarnation: "s"})
 	for _, some := range rows {
 		view.Merge(start, some)
@@ -137,8 +137,9 @@
 	return view
 }
 
-// naive keeps the best row per name by comparing rows as tuples.
-func naive(rows []member.Member) map[string]member.Member {
+// referenceMerge is a simple model of Merge: it keeps the greatest row per name in the
+// order of the tuples (start, incarnation, version, state).
+func referenceMerge(rows []member.Member) map[string]member.Member {
 	best := make(map[string]member.Member)
 	rank := func(m member.Member) string {
 		return fmt.Sprintf("%04d %s %04d %d", m.StartedMS, m.Incarnation, m.Version, m.State)
@@ -158,13 +159,13 @@
 		shuffled := rapid.Permutation(rows).Draw(t, "shuffled")
 		cut := rapid.IntRange(0, len(rows)).Draw(t, "cut")
 
-		whole := merged(rows)
-		other := merged(shuffled[cut:], shuffled[:cut], shuffled) // other order, other grouping, twice
+		whole := mergedView(rows)
+		other := mergedView(shuffled[cut:], shuffled[:cut], shuffled) // in another order and grouping, and twice
 		is.Equal(whole.Full(start), other.Full(start))
 		is.Equal(whole.Hash(), other.Hash())
 		is.Equal(whole.Hash(), member.HashRows(whole.Full(start)))
 
-		best := naive(rows)
+		best := referenceMerge(rows)
 		for _, row := range whole.Full(start) {
 			want := best[row.Name]
 			want.Revision = row.Revision
@@ -179,7 +180,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		rows := rapid.SliceOfN(rapid.Custom(drawRow), 1, 12).Draw(t, "rows")
-		view := merged(rows)
+		view := mergedView(rows)
 		before := view.All(start)
 		later := start.Add(time.Hour)
 		is.Equal(len(view.Merge(later, rows)), 0)
@@ -189,24 +190,24 @@
 
 func TestSignOfLifeCountsForTheLastNameAtAnAddress(t *testing.T) {
 	is := is.New(t)
-	view := merged([]member.Member{
+	view := mergedView([]member.Member{
 		{Name: "old", Incarnation: "a", StartedMS: 1, RelayAddress: "10.0.0.1:1"},
 		{Name: "new", Incarnation: "b", StartedMS: 2, RelayAddress: "10.0.0.1:1"},
 	})
 	view.PlatformUp(start)
 	later := start.Add(time.Minute)
 	is.Equal(len(view.Lapse(later)), 2)
-	for range 20 { // whatever the order of a map
-		is.True(!view.Heard(later, "10.0.0.2:1", 1))
-		view.Heard(later, "10.0.0.1:1", 1)
+	for range 20 { // map iteration order is random
+		is.True(!view.Contacted(later, "10.0.0.2:1", 1))
+		view.Contacted(later, "10.0.0.1:1", 1)
 	}
 	is.Equal(len(view.Lapsed()), 1)
 	is.Equal(view.Lapsed()[0].Name, "old")
 }
 
-// A host was lost and another one has its address: calls to the lost node would
-// reach the new one, which refuses them, until the lease of the lost one ends. That
-// the new one leaves does not bring the lost one back.
+// A host was lost and another one has taken its address. If the lost node stayed in the
+// view until its lease ended, calls to it would reach the new node, which rejects them.
+// The lost node must not come back when the new one leaves.
 func TestReplacedHostIsNoMember(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
@@ -228,9 +229,9 @@
 	is.Equal(names(), []string{"side-1"})
 }
 
-// The clock of a host that was replaced was ahead, so that its successor seems to be
-// the earlier one. Once the predecessor is gone, signs of life tell who is there; and
-// no node ever drops itself.
+// The clock of a replaced host was ahead, so its successor seems to have started earlier.
+// The view must keep the successor if it was seen after the predecessor was gone, and a
+// node must never drop itself from its own view.
 func TestSuccessorWithAClockBehindIsAMember(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
--- a/internal/member/plans.go
+++ b/internal/member/plans.go
@@ -6,36 +6,36 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
-// planTurn is how many plans a message carries besides news. A node takes part
-// in 13 exchanges a second, so at 54 services it hears of each plan about once
-// a second also when it missed the news.
-const planTurn = 4
+// plansPerTurn is the number of plans that a message carries in rotation, in addition to
+// changed ones. A node takes part in 13 exchanges per second, so with 54 services it
+// receives each version about once per second even if it missed the change.
+const plansPerTurn = 4
 
 type (
-	// planNews chooses the versions of owner plans that a message carries: those
-	// that changed lately and a few of the rest in turn. All of them in every
+	// planGossip selects the versions of owner plans that a message carries: those that
+	// changed recently, and a few of the others in rotation. To send all of them in every
 	// message would cost more than the rest of an exchange.
-	planNews struct {
-		rows map[string]planRow
-		next int // where the next turn begins
+	planGossip struct {
+		rows map[string]planState
+		next int // index of the first plan of the next rotation step
 	}
 
-	planRow struct {
-		version int64
-		sends   int // messages that are still to carry the version
+	planState struct {
+		version   int64
+		sendsLeft int // number of further messages that will carry the version as changed
 	}
 )
 
-// pick returns the versions for one message; those that are new go with a
+// pick returns the plan versions for one message. A changed version is sent in the given
 // number of messages.
-func (p *planNews) pick(all []*relaypb.PlanVersion, sends int) []*relaypb.PlanVersion {
+func (p *planGossip) pick(all []*relaypb.PlanVersion, sends int) []*relaypb.PlanVersion {
 	var picked []*relaypb.PlanVersion
 	for _, plan := range all {
 		if p.due(plan, sends) {
 			picked = append(picked, plan)
 		}
 	}
-	for range min(planTurn, len(all)) {
+	for range min(plansPerTurn, len(all)) {
 		plan := all[p.next%len(all)]
 		p.next++
 		if !slices.Contains(picked, plan) {
@@ -45,33 +45,34 @@
 	return picked
 }
 
-// due says whether the next message is to carry the version as news, and counts
-// that message.
-func (p *planNews) due(plan *relaypb.PlanVersion, sends int) bool {
+// due reports whether the next message must carry the version as changed, and counts
+// that message against the version's remaining sends.
+func (p *planGossip) due(plan *relaypb.PlanVersion, sendsLeft int) bool {
 	row, known := p.rows[plan.GetService()]
 	if !known || row.version != plan.GetVersion() {
-		row = planRow{version: plan.GetVersion(), sends: sends}
+		row = planState{version: plan.GetVersion(), sendsLeft: sendsLeft}
 	}
-	due := row.sends > 0
+	due := row.sendsLeft > 0
 	if due {
-		row.sends--
+		row.sendsLeft--
 	}
 	p.rows[plan.GetService()] = row
 	return due
 }
 
-// plansFor returns the plans for an answer: all for a node that is not active
-// yet or waits for a view, since it becomes active once it knows the owners.
+// plansFor returns the plan versions for an answer. A node that is starting, unknown or
+// waiting for a full view gets all of them, because it becomes active only once it knows
+// the owners.
 func (c *Controller) plansFor(req *relaypb.ExchangeRequest, all []*relaypb.PlanVersion) []*relaypb.PlanVersion {
-	if req.GetWantFull() || !c.view.active(req.GetFrom()) {
+	if req.GetWantFull() || !c.view.activeAt(req.GetFrom()) {
 		return all
 	}
-	return c.planNews.pick(all, Rounds(len(c.view.entries)))
+	return c.planGossip.pick(all, RetransmitLimit(len(c.view.entries)))
 }
 
-// active says whether a member at the address takes part, whichever of its
-// incarnations that is.
-func (v *View) active(relayAddress string) bool {
+// activeAt reports whether any member at the relay address is past Starting and not Gone,
+// whichever its incarnation.
+func (v *View) activeAt(relayAddress string) bool {
 	for _, e := range v.entries {
 		if e.row.RelayAddress == relayAddress && e.row.State != Starting && e.row.State != Gone {
 			return true
--- a/internal/member/presence.go
+++ b/internal/member/presence.go
@@ -6,43 +6,44 @@
 	"time"
 )
 
-// Heard notes a sign of life from the member at a relay address, where the
-// revision is in force, and returns whether that ended a lapse. Of several
-// names at the address, as when a host was replaced, the last started is meant.
-func (v *View) Heard(now time.Time, relayAddress string, revision int64) bool {
-	var heard *entry
+// Contacted records a message from the member at a relay address, with the revision in
+// force at that member, and reports whether the contact ended a lapse. If several names
+// have the address, as after the replacement of a host, the contact counts for the one
+// that started last.
+func (v *View) Contacted(now time.Time, relayAddress string, revision int64) bool {
+	var latest *entry
 	for name, e := range v.entries {
 		if e.row.RelayAddress != relayAddress || e.row.State == Gone || name == v.name {
 			continue
 		}
-		if heard == nil || e.row.StartedMS > heard.row.StartedMS {
-			heard = e
+		if latest == nil || e.row.StartedMS > latest.row.StartedMS {
+			latest = e
 		}
 	}
-	if heard == nil {
+	if latest == nil {
 		return false
 	}
-	heard.row.Revision = max(heard.row.Revision, revision)
-	return v.renew(now, heard)
+	latest.row.Revision = max(latest.row.Revision, revision)
+	return v.renew(now, latest)
 }
 
-// Renewed notes that the member's lease row was written at a version of the
-// platform, and returns whether that ended a lapse.
+// Renewed records that the member's lease row was written at a version of the platform,
+// and reports whether the renewal ended a lapse.
 func (v *View) Renewed(now time.Time, row Member, version int64) bool {
 	e := v.entries[row.Name]
-	if e == nil || e.row.Incarnation != row.Incarnation || version <= e.table {
+	if e == nil || e.row.Incarnation != row.Incarnation || version <= e.leaseVersion {
 		return false
 	}
-	e.table = version
+	e.leaseVersion = version
 	return v.renew(now, e)
 }
 
-// Deleted notes that the member's lease row was deleted at a version of the
-// platform. A member that was leaving or had lapsed is gone by it; any other
-// writes its row again.
+// Deleted records that the member's lease row was deleted at a version of the platform.
+// This marks a leaving or lapsed member as gone, in which case Deleted returns its new
+// row and true. Any other member will write its row again.
 func (v *View) Deleted(now time.Time, name string, version int64) (Member, bool) {
 	e := v.entries[name]
-	if e == nil || name == v.name || version <= e.table || e.row.State == Gone {
+	if e == nil || name == v.name || version <= e.leaseVersion || e.row.State == Gone {
 		return Member{}, false
 	}
 	if e.row.State != Leaving && e.lapsed.IsZero() {
@@ -54,44 +55,45 @@
 	return row, true
 }
 
-// PlatformUp notes that the platform's table was read. Leases are judged only
-// once it has been up for LeaseDuration, so that everyone had time to renew.
+// PlatformUp records that the platform's table was read. Leases expire only after the
+// platform has been up for LeaseDuration, so that every member had time to renew.
 func (v *View) PlatformUp(now time.Time) {
-	if v.leasesFrom.IsZero() {
-		v.leasesFrom = now.Add(LeaseDuration)
+	if v.expiryFrom.IsZero() {
+		v.expiryFrom = now.Add(LeaseDuration)
 	}
 }
 
-// PlatformDown notes that the platform's table could not be read. From then on
-// no lease runs out: nobody can renew, and a view that is kept whole serves
-// better than none. Calls show which targets are dead.
+// PlatformDown records that the platform's table could not be read. From then on no lease
+// expires, because no member can renew and a complete but possibly outdated view is more
+// useful than an empty one. Failing calls still show which targets are dead.
 func (v *View) PlatformDown() {
-	v.leasesFrom = time.Time{}
+	v.expiryFrom = time.Time{}
 }
 
-// Lapse returns the members whose leases have run out since the last time.
+// Lapse marks the members whose leases have expired since the last call as lapsed and
+// returns them. It also drops Gone rows that are older than tombstoneRetention.
 func (v *View) Lapse(now time.Time) []Member {
 	var lapsed []Member
-	judged := !v.leasesFrom.IsZero() && !now.Before(v.leasesFrom)
+	leasesExpire := !v.expiryFrom.IsZero() && !now.Before(v.expiryFrom)
 	for name, e := range v.entries {
 		switch {
 		case name == v.name:
 		case e.row.State == Gone:
-			if now.Sub(e.gone) >= goneKept {
+			if now.Sub(e.gone) >= tombstoneRetention {
 				delete(v.entries, name)
 			}
-		case judged && e.lapsed.IsZero() && now.Sub(e.heard) >= LeaseDuration:
+		case leasesExpire && e.lapsed.IsZero() && now.Sub(e.lastSeen) >= LeaseDuration:
 			e.lapsed = now
-			v.alter()
+			v.markChanged()
 			lapsed = append(lapsed, e.row)
 		}
 	}
 	return lapsed
 }
 
-// Lapsed returns the members whose leases have run out, by name. They are
-// asked now and then, since a node that starts again on the same address
-// while the platform is down knows nobody and must be found.
+// Lapsed returns the members whose leases have expired, sorted by name. Nodes probe their
+// addresses from time to time, because a node that restarts on the same address while the
+// platform is down knows no other members and must be contacted by one.
 func (v *View) Lapsed() []Member {
 	var rows []Member
 	for _, e := range v.entries {
@@ -103,12 +105,13 @@
 	return rows
 }
 
-// Left returns the members that went a short while ago, by name. A node that
-// starts again on the same address while the platform is down knows nobody.
-func (v *View) Left(now time.Time) []Member {
+// RecentlyGone returns the members that were marked as gone within recentlyGonePeriod,
+// sorted by name. A node that restarts on the same address while the platform is down
+// knows no other members.
+func (v *View) RecentlyGone(now time.Time) []Member {
 	var rows []Member
 	for _, e := range v.entries {
-		if e.row.State == Gone && now.Sub(e.gone) < returnTime {
+		if e.row.State == Gone && now.Sub(e.gone) < recentlyGonePeriod {
 			rows = append(rows, e.row)
 		}
 	}
@@ -116,28 +119,28 @@
 	return rows
 }
 
-// Expired returns a lapsed member whose lease row should be deleted from the
-// table, and the version at which to delete it. Only the node with the first
-// name does so, which keeps 530 nodes from writing the same.
+// Expired returns a lapsed member whose lease row should be deleted from the table, and
+// the version of that row. Only the node with the first name deletes rows, so that 530
+// nodes do not all make the same write.
 func (v *View) Expired(now time.Time) (Member, int64, bool) {
-	if names := v.names(); len(names) == 0 || names[0] != v.name {
+	if presentNames := v.presentNames(); len(presentNames) == 0 || presentNames[0] != v.name {
 		return Member{}, 0, false
 	}
 	for _, row := range v.Lapsed() {
 		e := v.entries[row.Name]
-		if e.table > 0 && now.Sub(e.lapsed) >= lapsedKept {
-			return row, e.table, true
+		if e.leaseVersion > 0 && now.Sub(e.lapsed) >= lapsedRowRetention {
+			return row, e.leaseVersion, true
 		}
 	}
 	return Member{}, 0, false
 }
 
 func (v *View) renew(now time.Time, e *entry) bool {
-	ended := !e.lapsed.IsZero()
-	e.heard = now
+	lapseEnded := !e.lapsed.IsZero()
+	e.lastSeen = now
 	e.lapsed = time.Time{}
-	if ended {
-		v.alter()
+	if lapseEnded {
+		v.markChanged()
 	}
-	return ended
+	return lapseEnded
 }
--- a/internal/member/run_test.go
+++ b/internal/member/run_test.go
@@ -16,17 +16,17 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
-// fastClock runs a hundred times as fast as the host's.
+// fastClock runs a hundred times as fast as the clock of the host.
 type fastClock struct{ start time.Time }
 
-const speed = 100
+const clockSpeed = 100
 
-func (c fastClock) Now() time.Time { return c.start.Add(speed * time.Since(c.start)) }
+func (c fastClock) Now() time.Time { return c.start.Add(clockSpeed * time.Since(c.start)) }
 
-func (c fastClock) After(d time.Duration) <-chan time.Time { return time.After(d / speed) }
+func (c fastClock) After(d time.Duration) <-chan time.Time { return time.After(d / clockSpeed) }
 
-// TestRunInGoroutines runs the loops as a node does, for the race detector:
-// five nodes find each other, one leaves and departs, and the rest see it.
+// TestRunInGoroutines runs the loops in goroutines as a node does, for the race detector:
+// five nodes find each other, one leaves and departs, and the others learn of it.
 func TestRunInGoroutines(t *testing.T) {
 	is := is.New(t)
 	const size = 5
@@ -58,7 +58,7 @@
 	for _, c := range controllers {
 		loops.Go(func() { c.Run(ctx) })
 	}
-	until := func(what string, members int, skip *member.Controller) {
+	waitFor := func(what string, members int, skip *member.Controller) {
 		for {
 			agree := true
 			for _, c := range controllers {
@@ -70,25 +70,25 @@
 			select {
 			case <-changed:
 			case <-ctx.Done():
-				t.Fatal(fmt.Sprint("not seen: ", what))
+				t.Fatal(fmt.Sprint("timed out waiting for ", what))
 			}
 		}
 	}
-	until("everybody", size, nil)
+	waitFor("all nodes", size, nil)
 	leaver := controllers[sampleRow(0).RelayAddress]
 	leaver.Leave(ctx)
 	leaver.Depart(ctx)
-	until("the departure", size-1, leaver)
+	waitFor("the departure", size-1, leaver)
 	row, err := memory.Store().Get(ctx, "members", leaver.Self().Name)
 	is.NoErr(err)
-	is.Equal(row.Version, int64(0)) // its lease row is deleted
+	is.Equal(row.Version, int64(0)) // the lease row is deleted
 	cancel()
 	loops.Wait()
 }
 
-// While the platform is down a node that went and starts again knows nobody, and
-// takes no work until somebody finds it: each of a few nodes looks for it in nearly
-// every round.
+// While the platform is down, a node that left and restarts knows no other members and
+// accepts no work until one contacts it. The test guards against a slow return: in a small
+// cluster every node must probe a recently gone member in nearly every round.
 func TestThoseThatLeftAreLookedForOften(t *testing.T) {
 	is := is.New(t)
 	const size = 12
@@ -98,7 +98,7 @@
 	asked := map[string]int{}
 	c.Send = func(_ context.Context, address string, _ *relaypb.ExchangeRequest) (*relaypb.ExchangeResponse, error) {
 		asked[address]++
-		return nil, errors.New("silent")
+		return nil, errors.New("no answer")
 	}
 	for i := 1; i < size; i++ {
 		row := sampleRow(i)
--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -9,37 +9,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Deltas returns the rows that one message should carry: those that changed
-// lately, each for a number of messages of about twice the logarithm of the
-// number of members, after which nearly all have it. The rest is found by the
-// hash.
+// Deltas returns the recently changed rows that the next message should carry. Each row
+// is sent in RetransmitLimit messages, about twice the binary logarithm of the number of
+// members, after which nearly all members have it. The comparison of view hashes detects
+// the members that still lack it.
 func (v *View) Deltas(_ time.Time) []Member {
 	var due []*entry
 	for _, e := range v.entries {
-		if e.sends > 0 {
+		if e.sendsLeft > 0 {
 			due = append(due, e)
 		}
 	}
 	slices.SortFunc(due, func(a, b *entry) int {
-		if a.sends != b.sends {
-			return b.sends - a.sends
+		if a.sendsLeft != b.sendsLeft {
+			return b.sendsLeft - a.sendsLeft
 		}
 		return strings.Compare(a.row.Name, b.row.Name)
 	})
-	due = due[:min(len(due), deltaRows)]
+	due = due[:min(len(due), maxDeltaRows)]
 	rows := make([]Member, len(due))
 	for i, e := range due {
-		e.sends--
+		e.sendsLeft--
 		rows[i] = e.row
 	}
 	return rows
 }
 
-// Full returns every row that another node may lack.
+// Full returns all rows sorted by name, without Gone rows older than tombstoneSendPeriod.
 func (v *View) Full(now time.Time) []Member {
 	rows := make([]Member, 0, len(v.entries))
 	for _, e := range v.entries {
-		if e.row.State != Gone || now.Sub(e.gone) < goneSent {
+		if e.row.State != Gone || now.Sub(e.gone) < tombstoneSendPeriod {
 			rows = append(rows, e.row)
 		}
 	}
@@ -47,19 +47,19 @@
 	return rows
 }
 
-// Rounds returns the number of messages that carry a changed row among n
-// members.
-func Rounds(n int) int {
+// RetransmitLimit returns the number of messages in which a node sends a changed row in a
+// view of n members.
+func RetransmitLimit(n int) int {
 	return 2 * max(2, bits.Len(uint(n)))
 }
 
-// Hash returns a hash over the rows that are not gone. It does not depend on
-// their order: it is the sum of the rows' own hashes.
+// Hash returns a hash of the rows that are not gone. It is the sum of the hashes of the
+// rows, so it does not depend on their order.
 func (v *View) Hash() uint64 {
 	return v.hash
 }
 
-// HashRows returns the hash of a view that holds just these rows.
+// HashRows returns the hash of a view that holds exactly these rows.
 func HashRows(rows []Member) uint64 {
 	var sum uint64
 	for i := range rows {
@@ -68,9 +68,9 @@
 	return sum
 }
 
-// newer orders the rows of one name. The incarnation decides between equal
-// starts, and the state between equal versions, so that any two rows have the
-// same winner everywhere.
+// newer reports whether row a replaces row b of the same name. The incarnation decides
+// between equal start times and the state between equal versions, so that of any two rows
+// every node keeps the same one.
 func newer(a, b Member) bool {
 	switch {
 	case a.StartedMS != b.StartedMS:
@@ -83,8 +83,8 @@
 	return a.State > b.State
 }
 
-// hashRow hashes what tells two rows of a name apart; a Gone row counts as
-// absent.
+// hashRow hashes the fields that distinguish two rows of a name. A Gone row has hash 0, as
+// if it were absent.
 func hashRow(row Member) uint64 {
 	if row.State == Gone {
 		return 0
--- a/internal/member/wire.go
+++ b/internal/member/wire.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// encodeRow returns the value of a lease row in the table.
+// encodeRow encodes a row as the value of a lease row in the table.
 func encodeRow(row Member) ([]byte, error) {
 	return proto.Marshal(rowToWire(row))
 }
