--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,4 +1,5 @@
-// Package call holds what a request carries along its call chain.
+// Package call defines calls and the state of a request that is passed along its call chain,
+// such as its deadline, importance and retry tokens.
 package call
 
 import (
@@ -11,27 +12,27 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// Call is one call of one kind: a request at its entry node, or a call that a
-// target makes while it serves another.
+// Call is one call of one kind: either a request at its entry node, or a call that a target
+// makes while it serves another call.
 type Call struct {
 	// RequestID is the same for all calls that one request causes.
 	RequestID string
 	Kind      *schema.Kind
-	// Importance and Position are fixed at the entry and inherited by every
-	// call of the request, so that all of them share one order of refusal.
+	// Importance and Position are set at the entry and inherited by every call of the
+	// request, so that all of them are refused in the same order.
 	Importance schema.Importance
 	Position   uint16
 	Deadline   time.Time
 	Tokens     *Tokens
-	// Key is the idempotency key, empty when the caller gave none.
+	// Key is the idempotency key, or empty if the caller gave none.
 	Key string
-	// KeyFresh is set when the caller says that it never sent the key before.
+	// KeyFresh is set if the caller states that it never sent the key before.
 	KeyFresh bool
-	// Parent is the attempt that the calling target serves, nil at the entry.
+	// Parent is the attempt that the calling target serves, or nil at the entry.
 	Parent *Serving
 
 	Method string
-	// Host is the Host header of the request; empty leaves it to the target.
+	// Host is the Host header of the request. If empty, the address of the target is used.
 	Host string
 	// Path holds the path and the query.
 	Path     string
@@ -39,10 +40,10 @@
 	Body     []byte
 	Limits   schema.Limits
 	Revision int64
-	// Admitted is the share of such requests that was let in when this one came; 0
-	// where that is not asked.
+	// Admitted is the admitted share of such requests at the time when this one arrived,
+	// or 0 if no share applies.
 	Admitted float64
-	// Steps are the attempts so far.
+	// Steps holds the attempts so far.
 	Steps []Step
 }
 
@@ -53,150 +54,149 @@
 	Took   time.Duration
 }
 
-// Answer is what became of a call.
+// Answer is the result of a call.
 type Answer struct {
 	Code   result.Code
 	Detail string
-	// Refusal is why a sending was refused that the code calls a refused repeat,
-	// else 0.
+	// Refusal is the code of the actual refusal if Code is RepeatRefused, and otherwise 0.
 	Refusal result.Code
-	// Admitted is the share of such requests that is let in, where the refusal
-	// goes by a share; else 0.
+	// Admitted is the admitted share of such requests if the request was refused because
+	// of it, and otherwise 0.
 	Admitted float64
-	// Status, Header and Body are the target's, whole, or zero when the code
-	// says that there is no such answer.
+	// Status, Header and Body are the target's complete response, or zero if Code says that
+	// there is none.
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Tokens shares one purse of retry tokens among the calls that a target makes
-// at the same time.
+// Tokens shares the retry tokens of one request among the calls that a target makes
+// concurrently.
 type Tokens struct {
-	mu    sync.Mutex
-	purse budget.Purse
+	mu   sync.Mutex
+	pool budget.Purse
 }
 
-// Serving is an attempt that the target beside this node is at work on. Calls
-// that the target makes find it by its handle.
+// Serving is an attempt that the target beside this node is currently serving. Calls that
+// the target makes are matched to it by its handle.
 type Serving struct {
 	RequestID  string
 	Importance schema.Importance
 	Position   uint16
 	Deadline   time.Time
 	Tokens     *Tokens
-	// Moved is called when the target begins or ends a call of its own; it may
-	// be nil.
+	// Moved is called when the target begins or ends a call of its own. It may be nil.
 	Moved func()
 
-	mu      sync.Mutex
-	pending int
-	ran     bool
-	// ranOnce is set when a call of a kind that never repeats ran or may have.
-	ranOnce bool
-	failed  bool
+	mu              sync.Mutex
+	pendingChildren int
+	childRan        bool
+	// unsafeRan is set if a call of a kind that may run only once ran or may have run.
+	unsafeRan   bool
+	childFailed bool
 }
 
-// NewTokens returns a purse with n tokens.
+// NewTokens returns n retry tokens.
 func NewTokens(n int) *Tokens {
-	return &Tokens{purse: budget.Purse{Tokens: n}}
+	return &Tokens{pool: budget.Purse{Tokens: n}}
 }
 
-// Spend takes one token for a repeat and says whether there was one.
+// Spend takes one token for a retry and reports whether there was one.
 func (t *Tokens) Spend() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.purse.Spend()
+	return t.pool.Spend()
 }
 
-// Lend takes the tokens that go with an attempt: none where the target is not
-// known to make calls that could spend them.
+// Lend takes out the tokens to send with an attempt. It takes none if spendable is false,
+// because nothing further down the call chain could spend them.
 func (t *Tokens) Lend(spendable bool) *budget.Loan {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !spendable {
 		return &budget.Loan{}
 	}
-	return t.purse.LendTo()
+	return t.pool.LendTo()
 }
 
-// Return puts back what an attempt's answer brought of its loan. Only the first
-// answer counts, so a duplicate cannot bring back what another attempt holds.
+// Return puts back n tokens of a loan, as reported by the answer to the attempt. Only the
+// first answer counts, so a duplicate cannot return tokens that another attempt holds.
 func (t *Tokens) Return(loan *budget.Loan, n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	loan.Return(n)
 }
 
-// Left returns the number of tokens in the purse.
+// Left returns the number of tokens that can be spent or lent.
 func (t *Tokens) Left() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.purse.Tokens
+	return t.pool.Tokens
 }
 
-// ChildSent notes that the target makes a call of its own.
+// ChildSent records that the target makes a call of its own.
 func (s *Serving) ChildSent() {
 	s.mu.Lock()
-	s.pending++
+	s.pendingChildren++
 	s.mu.Unlock()
-	s.moved()
+	s.notify()
 }
 
-// ChildEnded notes what became of a call that the target made, of a kind with
-// that rule for repeating.
+// ChildEnded records the result of a call that the target made, with the repeat rule of the
+// call's kind.
 func (s *Serving) ChildEnded(code result.Code, repeat schema.Repeat) {
-	defer s.moved()
+	defer s.notify()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pending--
+	s.pendingChildren--
 	if code.Family() != result.NotRun {
-		s.ran = true
-		s.ranOnce = s.ranOnce || repeat == schema.Never
+		s.childRan = true
+		s.unsafeRan = s.unsafeRan || repeat == schema.Never
 	}
 	if code.Family() != result.Complete {
-		s.failed = true
+		s.childFailed = true
 	}
 }
 
-// Waits says whether the target waits for a call that it made.
+// Waits reports whether the target is waiting for a call that it made.
 func (s *Serving) Waits() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pending > 0
+	return s.pendingChildren > 0
 }
 
-func (s *Serving) moved() {
+// notify calls Moved if it is set.
+func (s *Serving) notify() {
 	if s.Moved != nil {
 		s.Moved()
 	}
 }
 
-// ChildrenFailed says whether any call of the target was refused or failed. A
-// call that has not ended counts, because the target waits for it.
+// ChildrenFailed reports whether any call made by the target was refused or failed. A call
+// that has not ended counts, because the target is waiting for it.
 func (s *Serving) ChildrenFailed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failed || s.pending > 0
+	return s.childFailed || s.pendingChildren > 0
 }
 
-// ChildrenRan says whether any call of the target ran or may have run. A call
-// that has not ended counts, because it may be running.
+// ChildrenRan reports whether any call made by the target ran or may have run. A call that
+// has not ended counts, because it may be running.
 func (s *Serving) ChildrenRan() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ran || s.pending > 0
+	return s.childRan || s.pendingChildren > 0
 }
 
-// OnlySafeRan says whether every call of the target that ran or may have run is
-// of a kind that may run again.
+// OnlySafeRan reports whether every call made by the target that ran or may have run is of a
+// kind that may run again.
 func (s *Serving) OnlySafeRan() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.ranOnce && s.pending == 0
+	return !s.unsafeRan && s.pendingChildren == 0
 }
 
-// Refuse returns an answer that carries a code and the reason in words.
+// Refuse returns an answer with a code and a detail text that gives the reason.
 func Refuse(code result.Code, detail string) *Answer {
 	return &Answer{Code: code, Detail: detail}
 }
