--- a/internal/entry/below_test.go
+++ b/internal/entry/below_test.go
@@ -20,8 +20,8 @@
 
 const failedAnswers = 10
 
-// failingTarget answers that it failed, with headers of its choice, after a call
-// of its own that was refused or without one.
+// failingTarget answers each call with a failure and the given headers. If below is set, a
+// call that it made itself was refused before.
 type failingTarget struct {
 	server *local.Server
 	header http.Header
@@ -39,9 +39,9 @@
 	w.WriteHeader(http.StatusInternalServerError)
 }
 
-// A target is ejected for answers that fail by themselves, and not for those
-// that fail because of the calls below it. Nothing that it writes into its
-// answers makes the one look like the other; its headers travel unread.
+// A target is ejected for its own failures, but not for those caused by calls that it
+// made. The headers of its answers cannot make one look like the other: they are passed
+// on without being interpreted.
 func TestFailureBelowDoesNotEject(t *testing.T) {
 	target := &failingTarget{}
 	served := httptest.NewServer(target)
@@ -51,14 +51,14 @@
 		is := is.New(t)
 		target.below = rapid.Bool().Draw(t, "below")
 		target.header = drawHeader(t)
-		s, c := newNear(nil), order()
+		s, c := newLocalSender(nil), order()
 		node := route.Target{Name: "node", Incarnation: s.Self}
 		s.Update(c.Kind.Service, []route.Target{node, {Name: "other", Incarnation: "inc-2"}})
 		for range failedAnswers {
-			request := s.request(c, node, 0, relaypb.Earlier_EARLIER_UNSPECIFIED)
+			request := s.newRequest(c, node, 0, relaypb.Earlier_EARLIER_UNSPECIFIED)
 			response := target.server.Carry(context.Background(), request)
-			one := &sending{sender: s, call: c}
-			answer := one.take(node, request, response, time.Millisecond, c.Tokens.Lend(true))
+			state := &sendState{sender: s, call: c}
+			answer := state.handleResponse(node, request, response, time.Millisecond, c.Tokens.Lend(true))
 			is.Equal(answer.Code, result.TargetFailed)
 			for name, values := range target.header {
 				is.Equal(answer.Header[name], values)
@@ -68,8 +68,8 @@
 	})
 }
 
-// drawHeader draws what a target may write, above all what nodes say among
-// themselves.
+// drawHeader draws headers that a target may set, mostly ones that look like those used
+// between nodes.
 func drawHeader(t *rapid.T) http.Header {
 	names := []string{
 		"Dandelion-Below", "Below", "Dandelion-Code", "Dandelion-Result", "Dandelion-Context",
@@ -83,13 +83,13 @@
 	return header
 }
 
-// A caller that leaves says nothing against the target.
+// An attempt that the caller cancels is not counted against the target.
 func TestCallerThatLeftIsBlameless(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	one := &sending{sender: &Sender{Clock: clock.System{}}, call: order()}
-	_, code, outcome := one.settle(ctx, route.Target{}, &relaypb.CarryRequest{}, ctx.Err())
+	state := &sendState{sender: &Sender{Clock: clock.System{}}, call: order()}
+	_, code, outcome := state.resolveLost(ctx, route.Target{}, &relaypb.CarryRequest{}, ctx.Err())
 	is.Equal(code, result.CancelledLate)
 	is.Equal(outcome, route.Blameless)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry sends calls to the nodes beside their targets: it chooses the
-// target, lends retry tokens, learns the fate of attempts whose connection was
-// lost, and decides whether an attempt is worth repeating.
+// Package entry sends calls to the nodes beside their targets. It chooses the target,
+// passes retry tokens along, finds out what became of attempts whose connection was
+// lost, and decides whether to retry.
 package entry
 
 import (
@@ -29,92 +29,93 @@
 
 // Sender sends calls for one node.
 type Sender struct {
-	// DataCentre is where this node is, and Service that of the target beside it.
+	// DataCentre is the data centre of this node, and Service the service of the target
+	// beside it.
 	DataCentre string
 	Service    string
 	Clock      clock.Clock
 	Metrics    *metric.Set
 	Log        hclog.Logger
 	Client     *relay.Client
-	// Self is the incarnation of this node, and Beside runs an attempt at the
-	// target beside it. It returns nil when the context ends first.
+	// Self is the incarnation of this node. Beside runs an attempt at the target beside
+	// this node, and returns nil when the context ends first.
 	Self    string
 	Beside  func(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse
 	Route   route.Settings
 	Backoff budget.Backoff
-	// Owner returns the incarnation that runs a key of a service, or the code
-	// that says why there is none. Fresh keys were never sent before.
+	// Owner returns the incarnation that owns a key of a service, or the code that says
+	// why the key has no owner. A fresh key was never sent before.
 	Owner func(service string, key once.Key, fresh bool) (string, result.Code)
-	// Settling says whether the owner of a key is being replaced right now, so
-	// that the key will have another one soon.
+	// Settling reports whether the owner of a key is being replaced, so that the key will
+	// soon have another owner.
 	Settling func(service string, key once.Key) bool
-	// Covered says whether the plan known here names an owner for the key.
+	// Covered reports whether the plan known to this node names an owner for the key.
 	Covered func(service string, key once.Key) bool
-	// Opaque is set where it is not seen which calls a target makes for which
-	// call. No retry tokens are lent then, because nobody could spend them.
+	// Opaque is set if the node cannot tell for which request a target makes a call of
+	// its own. Attempts then carry no retry tokens, because nothing could spend them.
 	Opaque bool
-	// SharedBudget is set where the nodes beside the targets keep one budget of
-	// repeats for all senders, in place of the allowance by completed calls.
+	// SharedBudget is set if the nodes beside the targets keep one retry budget for all
+	// senders, in place of each sender's allowance, which grows with completed calls.
 	SharedBudget bool
-	// RetryShare returns the declared share of repeats at a service.
+	// RetryShare returns the declared ratio of retries to completed calls of a service.
 	RetryShare func(service string) float64
-	// Moved is called when an attempt shows that the view of members or plans
-	// is behind: the incarnation it was addressed to is gone.
+	// Moved is called when an attempt shows that the local view of members or plans is
+	// stale, for instance because the incarnation that it was addressed to is gone.
 	Moved func()
 
 	mu        sync.Mutex
 	services  map[string]*service
-	door      *admit.Door
+	floors    *admit.Door
 	throttle  *admit.Throttle
 	pressures *admit.Pressures
-	// inner holds the kinds that targets call and callers do not. Those that entered
-	// here were called by the target beside this node.
-	inner map[string]innerKind
-	// toldAt is when an answer of a kind last told of the pressure of services.
-	toldAt map[string]time.Time
+	// nestedKinds holds the kinds of which nearly all calls come from targets, as answers
+	// reported. Calls of these kinds sent through this node came from the target beside it.
+	nestedKinds map[string]nestedKind
+	// pressureSentAt is when an answer to each kind last carried the pressure of services.
+	pressureSentAt map[string]time.Time
 }
 
-// service is what a sender knows of one service.
+// service is the sender's state for one service.
 type service struct {
 	table     *route.Table
 	allowance *budget.Allowance
-	// spent is when a node refused a repeat for the shared budget: first of a
-	// request of a caller, second of a call that a target makes.
-	spent [2]time.Time
-	// share is the declared share that the allowance was made with.
+	// retryDeniedAt is when a node last refused a retry because the shared budget was
+	// retryDeniedAt: first for requests of callers, second for calls that targets make.
+	retryDeniedAt [2]time.Time
+	// share is the declared retry share that the allowance was created with.
 	share   float64
 	targets map[string]route.Target
 	latency time.Duration
 }
 
 const (
-	// retryBurst is how many repeats a service allows before any call of it
-	// has completed.
+	// retryBurst is how many retries are allowed before any call to the service has
+	// completed.
 	retryBurst = 10
-	// spentFresh is how long a sender goes by a repeat that was refused for the
-	// shared budget.
-	spentFresh = 50 * time.Millisecond
-	// latencyWeight is the weight of a new reading in the smoothed latency.
+	// retryDenialTTL is how long a sender asks for no further retry after one was refused
+	// for the shared budget.
+	retryDenialTTL = 50 * time.Millisecond
+	// latencyWeight is the weight of a new sample in the smoothed latency.
 	latencyWeight = 0.2
 )
 
-// Init makes the sender ready for use.
+// Init creates the sender's internal state. It must be called before any other method.
 func (s *Sender) Init(door *admit.Door) {
 	s.services = map[string]*service{}
-	s.door = door
+	s.floors = door
 	s.throttle = admit.NewThrottle()
 	s.pressures = admit.NewPressures()
-	s.inner = map[string]innerKind{}
-	s.toldAt = map[string]time.Time{}
+	s.nestedKinds = map[string]nestedKind{}
+	s.pressureSentAt = map[string]time.Time{}
 }
 
-// Admits says whether a new request of a kind is let in, going by how the ones
-// before ended. A call of another call always is: work has been done for it. It
-// also returns the share of the kind's requests that are let in.
+// Admits reports whether to admit a new request of a kind, judging by how earlier ones
+// ended, and returns the admitted share of the kind's requests. Calls that targets make
+// are always admitted, because work has already been done for their request.
 func (s *Sender) Admits(kind *schema.Kind) (share float64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, inner := s.inner[kind.Name]; inner {
+	if _, nested := s.nestedKinds[kind.Name]; nested {
 		return 1, true
 	}
 	now := s.Clock.Now()
@@ -123,15 +124,15 @@
 	return s.throttle.Share(kind.Name), ok
 }
 
-// Ended takes in how a request that was let in ended, for the throttle.
+// Ended records for the throttle how an admitted request ended.
 func (s *Sender) Ended(kind *schema.Kind, code result.Code) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.throttle.Ended(s.Clock.Now(), kind.Name, endOf(code))
+	s.throttle.Ended(s.Clock.Now(), kind.Name, loadSignal(code))
 }
 
-// endOf says what the end of a request tells of load.
-func endOf(code result.Code) admit.End {
+// loadSignal returns what the result of a request tells the throttle about load.
+func loadSignal(code result.Code) admit.End {
 	switch code {
 	case result.OK, result.Replayed:
 		return admit.Good
@@ -143,20 +144,20 @@
 	return admit.Other
 }
 
-// Update puts the targets of a service in place.
+// Update replaces the list of targets of a service.
 func (s *Sender) Update(name string, targets []route.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.service(name)
-	known.table.Update(s.Clock.Now(), targets)
-	known.targets = make(map[string]route.Target, len(targets))
+	state := s.service(name)
+	state.table.Update(s.Clock.Now(), targets)
+	state.targets = make(map[string]route.Target, len(targets))
 	for _, target := range targets {
-		known.targets[target.Incarnation] = target
+		state.targets[target.Incarnation] = target
 	}
 }
 
-// SetDistances puts the declared distances from this node's data centre in
-// force. What was learned of targets is forgotten when they change.
+// SetDistances sets the declared distances from this node's data centre. If they change,
+// everything learned about the targets is discarded.
 func (s *Sender) SetDistances(distances map[string]time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,26 +165,26 @@
 		return
 	}
 	s.Route.Distances = distances
-	for _, known := range s.services {
-		known.table = route.New(s.Route)
-		known.table.Update(s.Clock.Now(), slices.Collect(maps.Values(known.targets)))
+	for _, state := range s.services {
+		state.table = route.New(s.Route)
+		state.table.Update(s.Clock.Now(), slices.Collect(maps.Values(state.targets)))
 	}
 }
 
-// Allows says whether all of these services take requests of an order now; if
-// not, it names the one that does not.
+// Allows reports whether all of the services currently accept requests of an order. If
+// not, it returns the name of a service that refuses.
 func (s *Sender) Allows(services []string, order uint32) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.door.Allows(s.Clock.Now(), services, order)
+	return s.floors.Allows(s.Clock.Now(), services, order)
 }
 
-// Levels returns what is known of the floors of services, to be passed on. The
-// floors of one node are left out: it adds its own, which is newer.
+// Levels returns the known floors of the services, to be passed on with an answer. It
+// leaves out the floors of the node named by without, which adds its own, newer ones.
 func (s *Sender) Levels(now time.Time, services []string, without string) []*relaypb.Level {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	floors := s.door.FloorsOf(now, services)
+	floors := s.floors.FloorsOf(now, services)
 	levels := make([]*relaypb.Level, 0, len(floors)+1)
 	for _, floor := range floors {
 		if floor.Node == without {
@@ -199,35 +200,36 @@
 	return levels
 }
 
-// Targets returns the state of a service's targets, for status.
+// Targets returns the state of a service's targets for the status page.
 func (s *Sender) Targets(name string) []route.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.service(name).table.Targets(s.Clock.Now())
 }
 
-// Send carries a call to its end: complete, not run, or unknown.
+// Send makes attempts of a call until one completes or none may follow. The result is
+// complete, not run, or unknown.
 func (s *Sender) Send(ctx context.Context, c *call.Call) *call.Answer {
-	sending := &sending{sender: s, call: c, tried: map[string]bool{}}
-	return sending.run(ctx)
+	state := &sendState{sender: s, call: c, tried: map[string]bool{}}
+	return state.run(ctx)
 }
 
-// service returns what is known of a service. The lock is held.
+// service returns the state of a service and creates it if needed. s.mu must be held.
 func (s *Sender) service(name string) *service {
-	known, ok := s.services[name]
+	state, ok := s.services[name]
 	if !ok {
-		known = &service{
+		state = &service{
 			table:   route.New(s.Route),
 			targets: map[string]route.Target{},
 		}
-		known.declare(s.RetryShare(name))
-		s.services[name] = known
+		state.setRetryShare(s.RetryShare(name))
+		s.services[name] = state
 	}
-	return known
+	return state
 }
 
-// declare makes a new allowance when another share of repeats is declared.
-func (s *service) declare(share float64) {
+// setRetryShare replaces the allowance if the declared retry share has changed.
+func (s *service) setRetryShare(share float64) {
 	if s.allowance != nil && s.share == share {
 		return
 	}
@@ -235,11 +237,11 @@
 	s.allowance = budget.NewAllowance(share, retryBurst)
 }
 
-// choose picks the target of the next attempt. A keyed call of a kind that may
-// run only once goes to the owner of its key and nowhere else.
+// choose picks the target of the next attempt. A call with an idempotency key, of a kind
+// that may run only once, goes to the owner of its key and nowhere else.
 func (s *Sender) choose(c *call.Call, tried map[string]bool) (route.Target, result.Code) {
 	if c.Key != "" && c.Kind.Repeat == schema.Never {
-		return s.owner(c)
+		return s.chooseOwner(c)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -250,15 +252,15 @@
 	return target, result.OK
 }
 
-// owner returns the target beside the owner of the call's key.
-func (s *Sender) owner(c *call.Call) (route.Target, result.Code) {
-	keeper, code := s.keeper(c)
+// chooseOwner returns the target beside the node that owns the call's key.
+func (s *Sender) chooseOwner(c *call.Call) (route.Target, result.Code) {
+	owner, code := s.ownerOf(c)
 	if code != result.OK {
 		return route.Target{}, code
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	target, ok := s.service(c.Kind.Service).table.ChooseNamed(s.Clock.Now(), keeper)
+	target, ok := s.service(c.Kind.Service).table.ChooseIncarnation(s.Clock.Now(), owner)
 	switch {
 	case ok:
 		return target, result.OK
@@ -268,119 +270,120 @@
 	return route.Target{}, result.OwnerUnclear
 }
 
-// keeper returns the incarnation that runs the call's key. That the owner is
-// gone is said only of an owner that the plan names and that nobody is about to
-// replace: otherwise the record may stand at a node that is not known here yet.
-func (s *Sender) keeper(c *call.Call) (string, result.Code) {
+// ownerOf returns the incarnation that owns the call's key. It returns OwnerGone only if
+// the plan names the owner and no replacement is under way. Otherwise the record may be at
+// a node that is not known here yet.
+func (s *Sender) ownerOf(c *call.Call) (string, result.Code) {
 	key, err := once.ParseKey(c.Key)
 	if err != nil {
 		return "", result.KeyInvalid
 	}
 	service := c.Kind.Service
-	keeper, code := s.Owner(service, key, c.KeyFresh)
+	owner, code := s.Owner(service, key, c.KeyFresh)
 	if code == result.OwnerGone && (!s.Covered(service, key) || s.Settling(service, key)) {
 		code = result.OwnerUnclear
 	}
-	return keeper, code
+	return owner, code
 }
 
-// ended tells the route and the allowance what an attempt showed.
+// ended records the outcome of an attempt in the routing table and the allowance.
 func (s *Sender) ended(c *call.Call, target route.Target, report route.Report) {
 	report.Incarnation = target.Incarnation
 	now := s.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.service(c.Kind.Service)
-	known.table.Ended(now, target.Name, report)
+	state := s.service(c.Kind.Service)
+	state.table.Ended(now, target.Name, report)
 	if report.Outcome != route.Complete {
 		return
 	}
-	known.allowance.Completed(now)
-	known.latency += time.Duration(latencyWeight * float64(report.Latency-known.latency))
+	state.allowance.Completed(now)
+	state.latency += time.Duration(latencyWeight * float64(report.Latency-state.latency))
 }
 
-// Learn takes in the floor of one node for its service as it is now.
+// Learn records the current floor of one node for its service.
 func (s *Sender) Learn(service, node string, floor uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.door.Learn(s.Clock.Now(), service, node, floor, 0)
+	s.floors.Learn(s.Clock.Now(), service, node, floor, 0)
 }
 
-// calm says whether the requests of a kind mostly end well.
-func (s *Sender) calm(kind string) bool {
+// isHealthy reports whether most requests of a kind succeed.
+func (s *Sender) isHealthy(kind string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.throttle.Calm(kind)
 }
 
-func (s *Sender) learn(levels []*relaypb.Level) {
+// learnFloors records the floors that came with an answer.
+func (s *Sender) learnFloors(levels []*relaypb.Level) {
 	now := s.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, level := range levels {
 		age := time.Duration(level.AgeMs) * time.Millisecond
-		s.door.Learn(now, level.Service, level.Node, level.Floor, age)
+		s.floors.Learn(now, level.Service, level.Node, level.Floor, age)
 	}
 }
 
-// mayRepeatShared is mayRepeat where all nodes share one budget of repeats. The
-// node beside the target has the last word; while it has just refused such a
-// repeat, there is no use in asking again.
-func (s *Sender) mayRepeatShared(c *call.Call, delay time.Duration) bool {
+// mayRetryShared is mayRetry for the case that all nodes share one retry budget. The node
+// beside the target decides. For retryDenialTTL after such a node has refused a similar
+// retry, asking again is of no use.
+func (s *Sender) mayRetryShared(c *call.Call, delay time.Duration) bool {
 	now := s.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.service(c.Kind.Service)
-	if !budget.Worthwhile(now, c.Deadline, delay, known.latency) {
+	state := s.service(c.Kind.Service)
+	if !budget.Worthwhile(now, c.Deadline, delay, state.latency) {
 		s.Metrics.RetriesDenied.WithLabelValues(c.Kind.Service, "deadline").Inc()
 		return false
 	}
-	if now.Sub(*s.budgetSpent(c)) < spentFresh {
+	if now.Sub(*s.lastRetryDenial(c)) < retryDenialTTL {
 		s.Metrics.RetriesDenied.WithLabelValues(c.Kind.Service, "budget").Inc()
 		return false
 	}
 	return true
 }
 
-// budgetSpent returns when a repeat like that of the call was last refused for the
-// shared budget. The lock is held.
-func (s *Sender) budgetSpent(c *call.Call) *time.Time {
-	known := s.service(c.Kind.Service)
-	if _, inner := s.inner[c.Kind.Name]; inner {
-		return &known.spent[1]
+// lastRetryDenial returns when a retry like that of the call was last refused for the
+// shared budget. s.mu must be held.
+func (s *Sender) lastRetryDenial(c *call.Call) *time.Time {
+	state := s.service(c.Kind.Service)
+	if _, nested := s.nestedKinds[c.Kind.Name]; nested {
+		return &state.retryDeniedAt[1]
 	}
-	return &known.spent[0]
+	return &state.retryDeniedAt[0]
 }
 
-// noteSpent notes that a node refused a repeat for the shared budget.
-func (s *Sender) noteSpent(c *call.Call) {
+// recordRetryDenial records that a node refused a retry for the shared budget.
+func (s *Sender) recordRetryDenial(c *call.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	*s.budgetSpent(c) = s.Clock.Now()
+	*s.lastRetryDenial(c) = s.Clock.Now()
 	s.Metrics.RetriesDenied.WithLabelValues(c.Kind.Service, "budget").Inc()
 }
 
-// mayRepeat says whether the service's allowance and the time left admit one
-// more repeat after a delay. An attempt that reached no target was no load to
-// the service, so that the next one is not taken from its allowance.
-func (s *Sender) mayRepeat(c *call.Call, code result.Code, delay time.Duration) bool {
+// mayRetry reports whether the service's allowance and the time to the deadline permit a
+// retry after the delay. An attempt that reached no target put no load on the service, so
+// a retry after it is not charged to the allowance.
+func (s *Sender) mayRetry(c *call.Call, code result.Code, delay time.Duration) bool {
 	now := s.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.service(c.Kind.Service)
-	known.declare(s.RetryShare(c.Kind.Service))
-	if !budget.Worthwhile(now, c.Deadline, delay, known.latency) {
+	state := s.service(c.Kind.Service)
+	state.setRetryShare(s.RetryShare(c.Kind.Service))
+	if !budget.Worthwhile(now, c.Deadline, delay, state.latency) {
 		s.Metrics.RetriesDenied.WithLabelValues(c.Kind.Service, "deadline").Inc()
 		return false
 	}
-	if code != result.Unreachable && !known.allowance.TryRepeat(now) {
+	if code != result.Unreachable && !state.allowance.TryRepeat(now) {
 		s.Metrics.RetriesDenied.WithLabelValues(c.Kind.Service, "allowance").Inc()
 		return false
 	}
 	return true
 }
 
-func (s *Sender) request(c *call.Call, target route.Target, tokens int, earlier relaypb.Earlier) *relaypb.CarryRequest {
+func (s *Sender) newRequest(c *call.Call, target route.Target, tokens int, earlier relaypb.Earlier) *relaypb.CarryRequest {
 	return &relaypb.CarryRequest{
 		AttemptId:        uuid.Must(uuid.NewV7()).String(),
 		RequestId:        c.RequestID,
@@ -405,8 +408,8 @@
 	}
 }
 
-// carry hands an attempt to the node beside its target. When that is this node
-// itself, the attempt takes the same way without a socket.
+// carry sends an attempt to the node beside its target. If that is this node itself, the
+// attempt runs in the same way but without a socket.
 func (s *Sender) carry(ctx context.Context, target route.Target, request *relaypb.CarryRequest) (*relaypb.CarryResponse, error) {
 	if node, _ := relay.SplitIncarnation(target.Incarnation); node == s.Self {
 		response := s.Beside(ctx, request)
--- a/internal/entry/near_test.go
+++ b/internal/entry/near_test.go
@@ -19,33 +19,33 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// near is the incarnation of the node of newNear.
-const near = "inc-1"
+// localIncarnation is the incarnation of the node of newLocalSender.
+const localIncarnation = "inc-1"
 
-// hasty is a clock that is set by hand, and whose waits end at once.
-type hasty struct {
+// fakeClock is a clock that tests set, and whose waits end at once.
+type fakeClock struct {
 	now time.Time
 }
 
-func (h *hasty) Now() time.Time {
-	return h.now
+func (c *fakeClock) Now() time.Time {
+	return c.now
 }
 
-func (h *hasty) After(time.Duration) <-chan time.Time {
+func (c *fakeClock) After(time.Duration) <-chan time.Time {
 	fired := make(chan time.Time, 1)
-	fired <- h.now
+	fired <- c.now
 	return fired
 }
 
-// newNear returns a sender whose one target is beside it. Nobody listens at the
-// target's address.
-func newNear(beside func(request *relaypb.CarryRequest) *relaypb.CarryResponse) *Sender {
+// newLocalSender returns a sender whose only target is beside it. The target's address
+// has no listener.
+func newLocalSender(beside func(request *relaypb.CarryRequest) *relaypb.CarryResponse) *Sender {
 	s := &Sender{
-		Clock:   &hasty{now: time.Now()},
+		Clock:   &fakeClock{now: time.Now()},
 		Metrics: metric.New(),
 		Log:     hclog.NewNullLogger(),
 		Client:  relay.NewClient(),
-		Self:    near,
+		Self:    localIncarnation,
 		Beside: func(_ context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
 			return beside(request)
 		},
@@ -59,64 +59,64 @@
 	return s
 }
 
-// An entry node whose own target is chosen calls it without a socket.
+// An entry node that chooses the target beside it calls this target without a socket.
 func TestTargetOfTheOwnHostIsCalledDirectly(t *testing.T) {
 	is := is.New(t)
-	s := newNear(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
+	s := newLocalSender(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
 		return &relaypb.CarryResponse{AttemptId: request.AttemptId, Code: uint32(result.OK)}
 	})
 	is.Equal(s.Send(context.Background(), order()).Code, result.OK)
 }
 
-// Nothing is known of an attempt that the node itself gave up waiting for.
+// Whether an attempt ran is unknown once the caller cancels while the node waits for it.
 func TestOwnTargetThatIsGivenUpIsUnknown(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	s := newNear(func(*relaypb.CarryRequest) *relaypb.CarryResponse {
+	s := newLocalSender(func(*relaypb.CarryRequest) *relaypb.CarryResponse {
 		cancel()
 		return nil
 	})
 	is.Equal(s.Send(ctx, order()).Code, result.CancelledLate)
 }
 
-// tokenTrip is one attempt of a request with five tokens, three of which go along.
-type tokenTrip struct {
+// tokenCase is one attempt of a request with five tokens, of which three are lent.
+type tokenCase struct {
 	name string
-	// answer makes the node's answer to the attempt.
+	// answer returns the node's response to the attempt.
 	answer func(request *relaypb.CarryRequest) *relaypb.CarryResponse
 	left   int
 }
 
-// What an attempt did not spend comes back with its own answer, and only with
-// that; never more than went along.
+// Tokens that an attempt did not spend come back with its own answer only, and never more
+// than were lent.
 func TestTokensTravelWithAnAttempt(t *testing.T) {
-	for _, trip := range []tokenTrip{
+	for _, test := range []tokenCase{
 		{"all come back", answerOf(3, ""), 5},
 		{"one was spent", answerOf(2, ""), 4},
 		{"too many", answerOf(9, ""), 5},
 		{"the answer is foreign", answerOf(3, "foreign"), 2},
 	} {
-		t.Run(trip.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			lent := 0
-			s := newNear(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
+			s := newLocalSender(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
 				lent = int(request.Tokens)
-				return trip.answer(request)
+				return test.answer(request)
 			})
 			c := order()
 			c.Tokens = call.NewTokens(5)
 			s.Send(context.Background(), c)
 			is.Equal(lent, 3)
-			is.Equal(c.Tokens.Left(), trip.left)
+			is.Equal(c.Tokens.Left(), test.left)
 		})
 	}
 }
 
-// A call that is repeated pays for it, and lends from what is left.
+// A retry costs a token, and lends from those that are left.
 func TestRepeatsEndWithTheTokens(t *testing.T) {
 	is := is.New(t)
 	var lent []uint32
-	s := newNear(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
+	s := newLocalSender(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
 		lent = append(lent, request.Tokens)
 		return &relaypb.CarryResponse{AttemptId: request.AttemptId, Code: uint32(result.Lost), TokensLeft: request.Tokens}
 	})
--- a/internal/entry/onward_test.go
+++ b/internal/entry/onward_test.go
@@ -10,8 +10,8 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// A call goes onward to another target than the one beside this node. Where that
-// target had taken it, the next attempt is a repeat and costs a token.
+// Onward sends a call to a target other than the one beside this node. The next attempt is
+// a retry and costs a token, unless the target beside this node was stopped.
 func TestOnwardTakesAnotherTargetAndPaysForRepeats(t *testing.T) {
 	for _, test := range []struct {
 		refused result.Code
@@ -26,9 +26,9 @@
 	} {
 		t.Run(test.refused.String(), func(t *testing.T) {
 			is := is.New(t)
-			b := newBed(t)
+			b := newTestbed(t)
 			close(b.release)
-			other := route.Target{Name: "node", Incarnation: "inc-1", Address: b.wire.listener.Addr().String()}
+			other := route.Target{Name: "node", Incarnation: "inc-1", Address: b.proxy.listener.Addr().String()}
 			beside := route.Target{Name: "beside", Incarnation: "inc-0", Address: "127.0.0.1:1"}
 			b.sender.Self = beside.Incarnation
 			b.sender.Update(order().Kind.Service, []route.Target{beside, other})
--- a/internal/entry/outcome_test.go
+++ b/internal/entry/outcome_test.go
@@ -15,19 +15,19 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// A target whose place another process has taken is not tried for ever, and the
-// load of that process is not taken for its own.
+// A target whose address another process has taken over is ejected, and the load that this
+// process reports is not recorded for the target.
 func TestTargetThatWasReplacedIsEjected(t *testing.T) {
 	is := is.New(t)
 	s := &Sender{Clock: clock.System{}, Metrics: metric.New(), RetryShare: func(string) float64 { return 0.1 }}
 	s.Route.Random = func() float64 { return 0.5 }
 	s.Init(admit.NewDoor())
-	one := &sending{sender: s, call: order()}
-	service := one.call.Kind.Service
+	state := &sendState{sender: s, call: order()}
+	service := state.call.Kind.Service
 	lost := route.Target{Name: "lost", Incarnation: "a"}
 	s.Update(service, []route.Target{lost, {Name: "other", Incarnation: "b"}})
 	for range 4 {
-		one.take(lost, &relaypb.CarryRequest{}, &relaypb.CarryResponse{
+		state.handleResponse(lost, &relaypb.CarryRequest{}, &relaypb.CarryResponse{
 			Code: uint32(result.OtherIncarnation),
 			Load: &relaypb.Load{Limit: 40},
 		}, time.Millisecond, call.NewTokens(0).Lend(false))
--- a/internal/entry/pressure.go
+++ b/internal/entry/pressure.go
@@ -10,31 +10,33 @@
 )
 
 const (
-	// innerFresh is how long a call of the target shows that it makes such calls. It
-	// outlasts a surge in which next to no request gets as far.
-	innerFresh = 30 * time.Second
-	// toldEvery is how often answers of one kind tell of the pressure of services:
-	// twice in a period of the throttle, so that it costs 3 KB/s at most at a node
-	// that answers three kinds.
-	toldEvery = 100 * time.Millisecond
-	permille  = 1000
+	// nestedKindTTL is how long after an answer to a nested call the local target still
+	// counts as making such calls. It is longer than a surge in which almost no request
+	// gets as far as making them.
+	nestedKindTTL = 30 * time.Second
+	// pressureInterval is the least time between two answers to one kind that carry the
+	// pressure of services. It gives two reports in each period of the throttle, at a cost
+	// of at most 3 KB/s on a node that answers three kinds.
+	pressureInterval = 100 * time.Millisecond
+	permille         = 1000
 )
 
-// innerKind is a kind that targets call: its service, and when a call entered here.
-type innerKind struct {
+// nestedKind is the service of a kind that targets call, and the time of the last answer to
+// a call of this kind sent through this node.
+type nestedKind struct {
 	service string
 	at      time.Time
 }
 
-// learnPressure takes in what an answer says of the pressure of services, and of
-// those that the kind leads to.
+// learnPressure records the pressure of services that an answer reports, and which of the
+// services are downstream of the kind.
 func (s *Sender) learnPressure(kind *schema.Kind, response *relaypb.CarryResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Clock.Now()
-	delete(s.inner, kind.Name)
+	delete(s.nestedKinds, kind.Name)
 	if response.Inner {
-		s.inner[kind.Name] = innerKind{service: kind.Service, at: now}
+		s.nestedKinds[kind.Name] = nestedKind{service: kind.Service, at: now}
 	}
 	for _, pressed := range response.Pressed {
 		s.pressures.Hear(now, admit.Heard{
@@ -46,48 +48,48 @@
 			s.pressures.Leads(now, kind.Name, pressed.Service)
 		}
 	}
-	// The answer of a target that leaves says nothing of those that stay. What others
-	// told of them is in force meanwhile.
+	// The load of a leaving target says nothing about the targets that stay. Until one of
+	// these answers, the pressure reported by other nodes remains in force.
 	if pressure, known := s.service(kind.Service).table.Pressure(now); known {
 		s.pressures.Hear(now, admit.Heard{Service: kind.Service, Pressure: pressure})
 	}
 }
 
-// Pressed returns what this node knows of the pressure of services, for passing on
-// with an answer of the target beside it to a call of the kind; nothing if one has
-// just told of it.
+// Pressed returns the pressure of services known to this node, to be passed on with the
+// local target's answer to a call of the kind. It returns nil if an answer to the kind
+// carried the pressure less than pressureInterval ago.
 func (s *Sender) Pressed(kind string) []*relaypb.Pressed {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Clock.Now()
-	if now.Sub(s.toldAt[kind]) < toldEvery {
+	if now.Sub(s.pressureSentAt[kind]) < pressureInterval {
 		return nil
 	}
-	told := s.pressures.Told(now)
-	if len(told) == 0 {
+	reports := s.pressures.Told(now)
+	if len(reports) == 0 {
 		return nil
 	}
-	s.toldAt[kind] = now
-	below := s.below(now)
-	pressed := make([]*relaypb.Pressed, 0, len(told))
-	for _, heard := range told {
+	s.pressureSentAt[kind] = now
+	downstream := s.downstream(now)
+	pressed := make([]*relaypb.Pressed, 0, len(reports))
+	for _, report := range reports {
 		pressed = append(pressed, &relaypb.Pressed{
-			Service:  heard.Service,
-			Permille: uint32(permille * heard.Pressure),
-			AgeMs:    uint32(heard.Age.Milliseconds()),
-			Below:    slices.Contains(below, heard.Service),
+			Service:  report.Service,
+			Permille: uint32(permille * report.Pressure),
+			AgeMs:    uint32(report.Age.Milliseconds()),
+			Below:    slices.Contains(downstream, report.Service),
 		})
 	}
 	return pressed
 }
 
-// below returns the services that the target beside this node calls, and those that
-// its calls lead to. The lock is held.
-func (s *Sender) below(now time.Time) []string {
+// downstream returns the services that the target beside this node calls, and those that
+// these calls lead to. s.mu must be held.
+func (s *Sender) downstream(now time.Time) []string {
 	var services []string
-	for kind, called := range s.inner {
-		if now.Sub(called.at) < innerFresh {
-			services = append(services, called.service)
+	for kind, nested := range s.nestedKinds {
+		if now.Sub(nested.at) < nestedKindTTL {
+			services = append(services, nested.service)
 			services = append(services, s.pressures.Below(now, kind)...)
 		}
 	}
--- a/internal/entry/pressure_test.go
+++ b/internal/entry/pressure_test.go
@@ -11,14 +11,14 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// An answer tells of the pressure of services. The node passes it on with its age,
-// and says which of the services its own target calls: those that the target's own
-// calls lead to, and none of which it heard by chance.
+// An answer carries the pressure of services. The node passes the pressure on with its age
+// and marks as below only the services that its own target calls or that these calls lead
+// to, not others that an answer happens to mention.
 func TestAnswersBringThePressureOfServices(t *testing.T) {
 	for _, inner := range []bool{false, true} {
 		is := is.New(t)
-		clock := &hasty{now: time.Now()}
-		s := newNear(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
+		clock := &fakeClock{now: time.Now()}
+		s := newLocalSender(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
 			return &relaypb.CarryResponse{
 				AttemptId: request.AttemptId,
 				Code:      uint32(result.OK),
@@ -43,19 +43,19 @@
 		is.Equal(pressed[0].Below, inner)
 		is.Equal(pressed[1].Service, "elsewhere")
 		is.Equal(pressed[1].Below, false)
-		is.Equal(len(s.Pressed("order")), 0) // the answer before has just told it
+		is.Equal(len(s.Pressed("order")), 0) // the answer before has just carried it
 		is.Equal(len(s.Pressed("other")), 2)
 
 		clock.now = clock.now.Add(time.Second)
-		is.Equal(len(s.Pressed("order")), 0) // nobody goes by what is old
+		is.Equal(len(s.Pressed("order")), 0) // stale values are dropped
 	}
 }
 
-// The only target of which a node has heard of late leaves. Its answer says nothing
-// of the targets that stay, so that what others told of them stays in force.
+// If the only target with a recent report is leaving, its load says nothing about the
+// targets that stay, so the pressure reported by others remains in force.
 func TestAnswerOfALeavingTargetKeepsThePressureThatOthersTold(t *testing.T) {
 	is := is.New(t)
-	s := newNear(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
+	s := newLocalSender(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
 		return &relaypb.CarryResponse{
 			AttemptId: request.AttemptId,
 			Code:      uint32(result.OK),
@@ -63,7 +63,7 @@
 			Pressed:   []*relaypb.Pressed{{Service: order().Kind.Service, Permille: 1800, AgeMs: 20}},
 		}
 	})
-	s.Clock = &hasty{now: time.Now()}
+	s.Clock = &fakeClock{now: time.Now()}
 	s.Opaque = true
 	is.Equal(s.Send(context.Background(), order()).Code, result.OK)
 	pressed := s.Pressed("order")
@@ -71,11 +71,11 @@
 	is.Equal(pressed[0].Permille, uint32(1800))
 }
 
-// The metrics show what is known of late, and nothing that is old.
+// The metrics show recent values and no stale ones.
 func TestMetricsShowFreshPressures(t *testing.T) {
 	is := is.New(t)
-	clock := &hasty{now: time.Now()}
-	s := newNear(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
+	clock := &fakeClock{now: time.Now()}
+	s := newLocalSender(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
 		return &relaypb.CarryResponse{
 			AttemptId: request.AttemptId,
 			Code:      uint32(result.OK),
@@ -97,7 +97,7 @@
 	is.Equal(len(gauges(t, s, "dandelionfield_service_pressure")), 0)
 }
 
-// gauges returns the values of a metric by its one label.
+// gauges returns the values of a metric by the value of its only label.
 func gauges(t *testing.T, s *Sender, name string) map[string]float64 {
 	t.Helper()
 	families, err := s.Metrics.Registry.Gather()
--- a/internal/entry/probe_test.go
+++ b/internal/entry/probe_test.go
@@ -20,30 +20,31 @@
 )
 
 type (
-	// asked is a node that never answers an attempt, and hands over its answer
-	// when it is asked for the fate.
-	asked struct {
+	// fateNode is a node that never answers an attempt, but returns its answer to a fate
+	// query.
+	fateNode struct {
 		relaypbconnect.UnimplementedRelayHandler
-		began     chan struct{}
-		questions chan question
+		began   chan struct{}
+		queries chan fateQuery
 	}
 
-	// question is how long its sender lets the node wait, and waits itself.
-	question struct {
+	// fateQuery is a fate query that the node received: wait is how long the node may hold
+	// it, and left how long the sender waits for the response.
+	fateQuery struct {
 		wait, left time.Duration
 	}
 )
 
-// carry takes a call and never answers it.
-func (a *asked) carry(ctx context.Context, _ *relaypb.CarryRequest) *relaypb.CarryResponse {
-	a.began <- struct{}{}
+// carry accepts a call and never answers it.
+func (n *fateNode) carry(ctx context.Context, _ *relaypb.CarryRequest) *relaypb.CarryResponse {
+	n.began <- struct{}{}
 	<-ctx.Done()
 	return nil
 }
 
-func (a *asked) Fate(ctx context.Context, request *connect.Request[relaypb.FateRequest]) (*connect.Response[relaypb.FateResponse], error) {
+func (n *fateNode) Fate(ctx context.Context, request *connect.Request[relaypb.FateRequest]) (*connect.Response[relaypb.FateResponse], error) {
 	deadline, _ := ctx.Deadline()
-	a.questions <- question{time.Duration(request.Msg.WaitMs) * time.Millisecond, time.Until(deadline)}
+	n.queries <- fateQuery{time.Duration(request.Msg.WaitMs) * time.Millisecond, time.Until(deadline)}
 	body := []byte("whole")
 	return connect.NewResponse(&relaypb.FateResponse{
 		State: relaypb.FateState_FATE_STATE_DONE,
@@ -53,19 +54,20 @@
 	}), nil
 }
 
-// The first question about a call that may be repeated only finds out whether the
-// node is alive. One that may run only once has no use for a quick no.
+// The first fate query for a call that is safe to retry only checks whether the node is
+// alive. For a call that may run only once, such a probe is of no use, since it has no
+// other target.
 func TestFirstQuestionIsShortWhereAnotherTargetMayServe(t *testing.T) {
 	for _, test := range []struct {
-		repeat     schema.Repeat
-		wait, most time.Duration
+		repeat        schema.Repeat
+		wait, maxLeft time.Duration
 	}{
-		{schema.Safe, 0, fateProbe},
+		{schema.Safe, 0, fateProbeTimeout},
 		{schema.Never, fateWait, fateTimeout},
 	} {
 		t.Run(test.repeat.String(), func(t *testing.T) {
 			is := is.New(t)
-			node := &asked{began: make(chan struct{}, 1), questions: make(chan question, 9)}
+			node := &fateNode{began: make(chan struct{}, 1), queries: make(chan fateQuery, 9)}
 			_, handler := relaypbconnect.NewRelayHandler(node)
 			server := httptest.NewUnstartedServer(handler)
 			server.Config.Protocols = relay.Protocols()
@@ -73,21 +75,21 @@
 			server.Listener = link.Split(server.Listener, &link.Server{Carry: node.carry})
 			server.Start()
 			t.Cleanup(server.CloseClientConnections)
-			between := newWire(t, server.Listener.Addr().String())
-			b := newBed(t)
+			proxied := newProxy(t, server.Listener.Addr().String())
+			b := newTestbed(t)
 			c := order()
 			c.Kind.Repeat = test.repeat
-			b.sender.Update(c.Kind.Service, []route.Target{{Name: "node", Incarnation: "inc-1", Address: between.listener.Addr().String()}})
+			b.sender.Update(c.Kind.Service, []route.Target{{Name: "node", Incarnation: "inc-1", Address: proxied.listener.Addr().String()}})
 			go func() {
 				<-node.began
-				between.silence(func(s *mute) { s.toward.Store(true); s.back.Store(true) })
+				proxied.dropData(func(s *dropFlags) { s.toServer.Store(true); s.toClient.Store(true) })
 			}()
 			answer := b.send(c)
 			is.Equal(answer.Code, result.OK)
 			is.Equal(string(answer.Body), "whole")
-			first := <-node.questions
+			first := <-node.queries
 			is.Equal(first.wait, test.wait)
-			is.True(first.left <= test.most)
+			is.True(first.left <= test.maxLeft)
 		})
 	}
 }
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -19,105 +19,105 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// sending is one call on its way through its attempts.
-type sending struct {
+// sendState tracks one call across its attempts.
+type sendState struct {
 	sender *Sender
 	call   *call.Call
 	tried  map[string]bool
-	// asked is the incarnation that the last attempt was addressed to.
-	asked string
-	// last names the target of the last attempt; empty when there was none.
-	last string
-	// unknown is the last answer that leaves open whether the call ran. Once
-	// there is one, no later refusal may say "not run".
+	// lastIncarnation is the incarnation that the last attempt was addressed to.
+	lastIncarnation string
+	// lastTarget is the name of the last attempt's target, or empty if no target was found.
+	lastTarget string
+	// unknown is the last answer that leaves open whether the call ran. Once it is set, no
+	// later refusal may be reported as "not run".
 	unknown *call.Answer
-	// former is the last answer before a repeat.
-	former *call.Answer
-	// earlier is how far the attempts came so far.
+	// beforeRetry is the answer that led to the last retry.
+	beforeRetry *call.Answer
+	// earlier is how far any of the earlier attempts got.
 	earlier relaypb.Earlier
-	repeats int
+	retries int
 	moves   int
 }
 
 const (
-	// fateWait is how long one question about an attempt may wait at the other
-	// node for the attempt to end.
+	// fateWait is how long the other node may hold a fate query while the attempt runs.
 	fateWait = time.Second
-	// fateTimeout bounds one question when the other node does not answer.
+	// fateTimeout bounds one fate query if the other node does not answer.
 	fateTimeout = 1500 * time.Millisecond
-	// fateProbe bounds the first question about a call that may be repeated: the
-	// node answers it at once if it is alive, and else another target is asked
-	// rather sooner than later.
-	fateProbe = 200 * time.Millisecond
-	// fateQuestions is how often a lost attempt is asked for when the other
-	// node cannot be reached.
-	fateQuestions = 3
-	// ownerQuestions is how often it is looked for another owner of a key
-	// while the owner is being replaced.
-	ownerQuestions = 15
-	// maxShedRepeats is how often a call is tried again after a target shed it.
-	maxShedRepeats = 4
-	// maxMoves is how often a call goes on to another target that it has not
-	// reached yet.
+	// fateProbeTimeout bounds the first fate query for a call that is safe to retry. A live
+	// node answers at once. If the node does not, another target should be tried soon.
+	fateProbeTimeout = 200 * time.Millisecond
+	// maxFateQueries is how many fate queries for a lost attempt may go unanswered.
+	maxFateQueries = 3
+	// maxOwnerLookups is how often the owner of a key is looked up while it is being
+	// replaced.
+	maxOwnerLookups = 15
+	// maxShedRetries is how often a call is retried after a target shed it.
+	maxShedRetries = 4
+	// maxMoves is how often a call goes to another target because it did not reach the
+	// one before.
 	maxMoves = 3
-	// fatePause is the time between two such questions.
-	fatePause = 100 * time.Millisecond
+	// pollInterval is the pause between two fate queries or two owner lookups.
+	pollInterval = 100 * time.Millisecond
 )
 
-func (s *sending) run(ctx context.Context) *call.Answer {
+// run makes attempts until one completes or no retry is permitted.
+func (s *sendState) run(ctx context.Context) *call.Answer {
 	for {
 		began := s.sender.Clock.Now()
 		answer := s.attempt(ctx)
-		s.call.Steps = append(s.call.Steps, call.Step{Target: s.last, Code: answer.Code, Took: s.sender.Clock.Now().Sub(began)})
+		s.call.Steps = append(s.call.Steps, call.Step{Target: s.lastTarget, Code: answer.Code, Took: s.sender.Clock.Now().Sub(began)})
 		if answer.Code.Family() == result.Complete {
 			return answer
 		}
-		if answer.Code == result.BudgetSpent && s.former != nil {
-			// The repeat did not take place, so that the answer before it stands.
-			s.sender.noteSpent(s.call)
-			return s.final(s.former)
+		if answer.Code == result.BudgetSpent && s.beforeRetry != nil {
+			// The retry did not take place, so the answer before it stands.
+			s.sender.recordRetryDenial(s.call)
+			return s.final(s.beforeRetry)
 		}
 		if answer.Code.Family() == result.Unknown {
 			s.unknown = answer
 		}
-		if !s.again(ctx, answer) {
+		if !s.prepareRetry(ctx, answer) {
 			return s.final(answer)
 		}
 	}
 }
 
-// final returns the answer for the caller: "not run" only when that holds for
-// every attempt of the call.
-func (s *sending) final(last *call.Answer) *call.Answer {
+// final returns the answer for the caller. It is "not run" only if no attempt of the call
+// may have run.
+func (s *sendState) final(last *call.Answer) *call.Answer {
 	if last.Code.Family() == result.NotRun && s.unknown != nil {
 		return s.unknown
 	}
 	return last
 }
 
-// again decides on one more attempt, pays for it, and waits out the backoff.
-func (s *sending) again(ctx context.Context, answer *call.Answer) bool {
-	if ctx.Err() != nil || !s.repeatable(ctx, answer.Code) {
+// prepareRetry decides whether to make another attempt. If so, it charges the retry
+// budgets and waits for the backoff.
+func (s *sendState) prepareRetry(ctx context.Context, answer *call.Answer) bool {
+	if ctx.Err() != nil || !s.retryable(ctx, answer.Code) {
 		return false
 	}
-	s.note(answer.Code)
+	s.recordProgress(answer.Code)
 	if s.sender.SharedBudget {
-		return s.againShared(ctx, answer)
+		return s.prepareRetryShared(ctx, answer)
 	}
-	delay := s.sender.Backoff.Delay(s.repeats)
-	if !s.sender.mayRepeat(s.call, answer.Code, delay) {
+	delay := s.sender.Backoff.Delay(s.retries)
+	if !s.sender.mayRetry(s.call, answer.Code, delay) {
 		return false
 	}
 	if !s.call.Tokens.Spend() {
 		s.sender.Metrics.RetriesDenied.WithLabelValues(s.call.Kind.Service, "tokens").Inc()
 		return false
 	}
-	s.repeats++
+	s.retries++
 	s.sender.Metrics.Retries.WithLabelValues(s.call.Kind.Service, answer.Code.String()).Inc()
 	return s.wait(ctx, delay)
 }
 
-func (s *sending) wait(ctx context.Context, delay time.Duration) bool {
+// wait sleeps for the delay and reports whether it passed before the context ended.
+func (s *sendState) wait(ctx context.Context, delay time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -126,37 +126,38 @@
 	}
 }
 
-// againShared is again where all nodes share one budget of repeats. A call that
-// was not sent to a target moves on for nothing. One that a target shed has not
-// run, and may try several; one that may have run costs a retry token too.
-func (s *sending) againShared(ctx context.Context, answer *call.Answer) bool {
+// prepareRetryShared is prepareRetry for the case that all nodes share one retry budget. A
+// call that was not sent to a target tries the next one free of charge. A call that a
+// target shed has not run and may try several targets. A call that may have run also
+// costs a retry token.
+func (s *sendState) prepareRetryShared(ctx context.Context, answer *call.Answer) bool {
 	code := answer.Code
 	if unsent(code) {
 		return s.move()
 	}
 	shed := code == result.TargetShed
-	if shed && s.repeats >= maxShedRepeats {
+	if shed && s.retries >= maxShedRetries {
 		return false
 	}
-	delay := s.sender.Backoff.Delay(s.repeats)
+	delay := s.sender.Backoff.Delay(s.retries)
 	if shed {
-		delay = s.afterShed()
+		delay = s.delayAfterShed()
 	}
-	if !s.sender.mayRepeatShared(s.call, delay) {
+	if !s.sender.mayRetryShared(s.call, delay) {
 		return false
 	}
 	if !shed && !s.call.Tokens.Spend() {
 		s.sender.Metrics.RetriesDenied.WithLabelValues(s.call.Kind.Service, "tokens").Inc()
 		return false
 	}
-	s.repeats++
-	s.former = answer
+	s.retries++
+	s.beforeRetry = answer
 	s.sender.Metrics.Retries.WithLabelValues(s.call.Kind.Service, code.String()).Inc()
 	return s.wait(ctx, delay)
 }
 
-// note keeps how far the attempts of the call came.
-func (s *sending) note(code result.Code) {
+// recordProgress records how far the attempts of the call have got.
+func (s *sendState) recordProgress(code result.Code) {
 	reached := relaypb.Earlier_EARLIER_RAN
 	switch {
 	case unsent(code):
@@ -167,9 +168,10 @@
 	s.earlier = max(s.earlier, reached)
 }
 
-// afterShed lets the call try targets again once all have shed it, and returns
-// the wait before that: none while there is another target.
-func (s *sending) afterShed() time.Duration {
+// delayAfterShed returns the delay before a retry of a call that a target shed: none while
+// an untried target remains. Once all targets have been tried, it makes them eligible
+// again.
+func (s *sendState) delayAfterShed() time.Duration {
 	s.sender.mu.Lock()
 	targets := len(s.sender.service(s.call.Kind.Service).targets)
 	s.sender.mu.Unlock()
@@ -180,10 +182,10 @@
 	return s.sender.Backoff.Delay(1)
 }
 
-// move goes on to another target at once after one that the call did not reach.
-// That is no repeat, as nothing was sent to a target, but it is bounded: each
-// move costs the nodes a message.
-func (s *sending) move() bool {
+// move reports whether the call may go to another target at once because it did not reach
+// the last one. A move is no retry, since nothing was sent to a target, but moves are
+// bounded because each costs the nodes a message.
+func (s *sendState) move() bool {
 	s.moves++
 	if s.moves > maxMoves {
 		return false
@@ -192,7 +194,7 @@
 	return true
 }
 
-// unsent says whether a code means that the call was not sent to any target.
+// unsent reports whether a code means that the attempt was not passed to a target.
 func unsent(code result.Code) bool {
 	switch code {
 	case result.Overloaded, result.QueueExpired, result.Evicted, result.TargetStopped, result.MemoryBound,
@@ -202,42 +204,43 @@
 	return false
 }
 
-// repeatable says whether a call that ended with a code may be sent again.
-func (s *sending) repeatable(ctx context.Context, code result.Code) bool {
+// retryable reports whether the call may be sent again after an attempt that ended with a
+// code.
+func (s *sendState) retryable(ctx context.Context, code result.Code) bool {
 	switch code {
 	case result.TargetShed:
-		return s.sender.SharedBudget || s.elsewhere()
+		return s.sender.SharedBudget || s.hasOtherTarget()
 	case result.Overloaded, result.QueueExpired, result.Evicted, result.TargetStopped, result.MemoryBound:
-		// The service is overloaded: only another target may take the call,
-		// and only while the service as a whole does not refuse its order.
-		return s.elsewhere()
+		// The target is overloaded. Another one may take the call, provided that the
+		// service as a whole does not refuse requests of its order.
+		return s.hasOtherTarget()
 	case result.Leaving, result.OtherIncarnation, result.Unreachable, result.Tombstoned, result.NoConfiguration:
 		s.sender.Moved()
 		return true
 	case result.NoOwner, result.OwnerGone, result.OwnerUnclear:
-		return s.reowned(ctx)
+		return s.awaitNewOwner(ctx)
 	case result.TargetFailed:
-		// Where many fail together, load is the likely cause, and repeats add to it.
-		return s.call.Kind.Repeat == schema.Safe && s.sender.calm(s.call.Kind.Name)
+		// If many calls fail at once, load is the likely cause, and retries would add to it.
+		return s.call.Kind.Repeat == schema.Safe && s.sender.isHealthy(s.call.Kind.Name)
 	case result.Lost, result.AnswerTruncated, result.PartlyRun:
 		return s.call.Kind.Repeat == schema.Safe
 	}
 	return false
 }
 
-// reowned says whether the key has another living owner than the one that was
-// tried, and waits a little for one that is about to take over. An owner runs a
-// key only if no other one may, so that sending the key to the owner of a newer
-// plan is safe whatever became of it before.
-func (s *sending) reowned(ctx context.Context) bool {
+// awaitNewOwner reports whether the key has a live owner other than the one tried last. It
+// waits up to maxOwnerLookups times pollInterval for a replacement that is under way. An
+// owner runs a key only if no other owner may, so sending the key to the owner in a newer
+// plan is safe whatever became of the earlier attempt.
+func (s *sendState) awaitNewOwner(ctx context.Context) bool {
 	key, err := once.ParseKey(s.call.Key)
 	if err != nil {
 		return false
 	}
-	for range ownerQuestions {
+	for range maxOwnerLookups {
 		s.sender.Moved()
-		keeper, code := s.sender.keeper(s.call)
-		if code == result.OK && keeper != s.asked {
+		owner, code := s.sender.ownerOf(s.call)
+		if code == result.OK && owner != s.lastIncarnation {
 			return true
 		}
 		if !s.sender.Settling(s.call.Kind.Service, key) || ctx.Err() != nil {
@@ -248,8 +251,8 @@
 	return false
 }
 
-// elsewhere says whether a refused call has another target to go to.
-func (s *sending) elsewhere() bool {
+// hasOtherTarget reports whether a refused call can go to a target not tried yet.
+func (s *sendState) hasOtherTarget() bool {
 	if s.call.Key != "" && s.call.Kind.Repeat == schema.Never {
 		return false
 	}
@@ -264,43 +267,44 @@
 	return ok
 }
 
-// attempt sends the call once.
-func (s *sending) attempt(ctx context.Context) *call.Answer {
+// attempt chooses a target and sends the call to it once.
+func (s *sendState) attempt(ctx context.Context) *call.Answer {
 	target, code := s.sender.choose(s.call, s.tried)
-	s.last = target.Name
+	s.lastTarget = target.Name
 	if code != result.OK {
 		s.sender.Metrics.Refusals.WithLabelValues(s.call.Kind.Service, code.String()).Inc()
 		return call.Refuse(code, "")
 	}
 	s.tried[target.Name] = true
-	s.asked = target.Incarnation
+	s.lastIncarnation = target.Incarnation
 	loan := s.call.Tokens.Lend(!s.sender.Opaque)
-	request := s.sender.request(s.call, target, loan.Tokens, s.earlier)
+	request := s.sender.newRequest(s.call, target, loan.Tokens, s.earlier)
 	s.sender.Metrics.Attempts.WithLabelValues(s.call.Kind.Service).Inc()
 	began := s.sender.Clock.Now()
 	response, err := s.sender.carry(ctx, target, request)
 	var lost route.Outcome
 	if err != nil {
-		response, code, lost = s.settle(ctx, target, request, err)
+		response, code, lost = s.resolveLost(ctx, target, request, err)
 	}
 	took := s.sender.Clock.Now().Sub(began)
 	s.sender.Metrics.RelaySeconds.WithLabelValues(s.call.Kind.Service).Observe(took.Seconds())
 	if response == nil {
 		if code == result.Unreachable {
-			// It has not run and never will, so the loan was not touched.
+			// The attempt has not run and never will, so none of its tokens were spent.
 			s.call.Tokens.Return(loan, loan.Tokens)
 		}
 		s.sender.ended(s.call, target, route.Report{Outcome: lost, Latency: took})
 		return call.Refuse(code, "")
 	}
-	return s.take(target, request, response, took, loan)
+	return s.handleResponse(target, request, response, took, loan)
 }
 
-// take checks an answer and learns from it.
-func (s *sending) take(target route.Target, request *relaypb.CarryRequest, response *relaypb.CarryResponse, took time.Duration, loan *budget.Loan) *call.Answer {
-	s.sender.learn(response.Levels)
-	code := s.entryCode(result.Code(response.Code))
-	report := route.Report{Outcome: outcome(code), Latency: took}
+// handleResponse checks a response, records the floors, load and pressure that it carries,
+// and converts it to an answer.
+func (s *sendState) handleResponse(target route.Target, request *relaypb.CarryRequest, response *relaypb.CarryResponse, took time.Duration, loan *budget.Loan) *call.Answer {
+	s.sender.learnFloors(response.Levels)
+	code := s.callerCode(result.Code(response.Code))
+	report := route.Report{Outcome: outcomeOf(code), Latency: took}
 	if response.Below {
 		report.Outcome = route.Blameless
 	}
@@ -316,9 +320,9 @@
 	if s.sender.Opaque {
 		s.sender.learnPressure(s.call.Kind, response)
 	}
-	if !s.whole(request, response) {
-		// A foreign or damaged answer says nothing of this attempt; the loan
-		// is forfeited with it.
+	if !s.isIntact(request, response) {
+		// A damaged response, or one to another attempt, says nothing about this attempt.
+		// The lent tokens are forfeited with it.
 		return call.Refuse(result.AnswerTruncated, "the answer's digest or attempt does not match")
 	}
 	s.call.Tokens.Return(loan, int(response.TokensLeft))
@@ -331,10 +335,10 @@
 	}
 }
 
-// entryCode is what the code of a node says at the entry. A node that is not the
-// owner of a key as far as it knows cannot tell that the owner is gone; and a key
-// that was never sent before cannot have run elsewhere.
-func (s *sending) entryCode(code result.Code) result.Code {
+// callerCode converts the code of a node to the code for the caller. A node that does not
+// own a key by its own view cannot tell that the key's owner is gone, and a key that was
+// never sent before cannot have run elsewhere.
+func (s *sendState) callerCode(code result.Code) result.Code {
 	switch {
 	case code != result.OwnerGone:
 		return code
@@ -344,8 +348,8 @@
 	return result.OwnerUnclear
 }
 
-// whole says whether an answer belongs to the attempt and is undamaged.
-func (s *sending) whole(request *relaypb.CarryRequest, response *relaypb.CarryResponse) bool {
+// isIntact reports whether a response belongs to the attempt and is undamaged.
+func (s *sendState) isIntact(request *relaypb.CarryRequest, response *relaypb.CarryResponse) bool {
 	if response.AttemptId != request.AttemptId {
 		return false
 	}
@@ -355,32 +359,32 @@
 	return xxhash.Sum64(response.Body) == response.Digest
 }
 
-// settle finds out what became of an attempt that brought no answer. It
-// returns the answer when the other node still has it, and otherwise the code
-// and what the loss shows of the target.
-func (s *sending) settle(ctx context.Context, target route.Target, request *relaypb.CarryRequest, err error) (*relaypb.CarryResponse, result.Code, route.Outcome) {
+// resolveLost finds out what became of an attempt that ended without an answer. It returns
+// the answer if the other node still has it, and otherwise the code and the outcome to
+// record for the target.
+func (s *sendState) resolveLost(ctx context.Context, target route.Target, request *relaypb.CarryRequest, err error) (*relaypb.CarryResponse, result.Code, route.Outcome) {
 	if relay.NeverSent(err) {
-		return nil, result.Unreachable, s.blame(ctx, route.Unreachable)
+		return nil, result.Unreachable, s.lossOutcome(ctx, route.Unreachable)
 	}
 	if relay.TooLarge(err) {
 		return nil, result.AnswerTooLarge, route.Blameless
 	}
-	// A node whose connection stood until the deadline answers pings, so it is
-	// not silent; its target was too slow.
+	// A node whose connection stayed open until the deadline has answered pings, so it is
+	// not silent: its target was too slow.
 	outcome := route.Failed
 	if s.call.Kind.Repeat == schema.Safe {
-		if _, err := s.ask(ctx, target, request, 0, fateProbe); err != nil {
-			return nil, s.lost(ctx), s.blame(ctx, route.Silent)
+		if _, err := s.queryFate(ctx, target, request, 0, fateProbeTimeout); err != nil {
+			return nil, s.lossCode(ctx), s.lossOutcome(ctx, route.Silent)
 		}
 	}
-	for question := 0; question < fateQuestions; {
+	for unanswered := 0; unanswered < maxFateQueries; {
 		if ctx.Err() != nil {
 			break
 		}
-		fate, err := s.ask(ctx, target, request, fateWait, fateTimeout)
+		fate, err := s.queryFate(ctx, target, request, fateWait, fateTimeout)
 		if err != nil {
-			if !s.patient(err) {
-				question++
+			if !s.keepAsking(err) {
+				unanswered++
 			}
 			outcome = route.Silent
 			s.pause(ctx)
@@ -397,26 +401,28 @@
 		}
 		outcome = route.Failed
 	}
-	return nil, s.lost(ctx), s.blame(ctx, outcome)
+	return nil, s.lossCode(ctx), s.lossOutcome(ctx, outcome)
 }
 
-// blame is what a loss shows of the target: nothing when the caller went away.
-func (s *sending) blame(ctx context.Context, outcome route.Outcome) route.Outcome {
-	if s.lost(ctx) == result.CancelledLate {
+// lossOutcome returns the outcome to record for a target whose answer was lost. It is
+// Blameless if the caller went away.
+func (s *sendState) lossOutcome(ctx context.Context, outcome route.Outcome) route.Outcome {
+	if s.lossCode(ctx) == result.CancelledLate {
 		return route.Blameless
 	}
 	return outcome
 }
 
-// patient says whether to go on asking a node that does not answer. One that can
-// be connected to stands still, and may go on: then it knows what became of the
-// call. A call that may run only once has nowhere else to go meanwhile.
-func (s *sending) patient(err error) bool {
+// keepAsking reports whether a fate query that failed does not count towards
+// maxFateQueries. A node that accepts connections but does not answer may only be paused;
+// once it resumes, it knows what became of the call. A call that may run only once has no
+// other target in the meantime.
+func (s *sendState) keepAsking(err error) bool {
 	return s.call.Kind.Repeat == schema.Never && !relay.NeverSent(err)
 }
 
-// lost is the code for an attempt that may have run and whose answer is not to be had.
-func (s *sending) lost(ctx context.Context) result.Code {
+// lossCode returns the code for an attempt that may have run and whose answer is lost.
+func (s *sendState) lossCode(ctx context.Context) result.Code {
 	switch {
 	case !s.sender.Clock.Now().Before(s.call.Deadline):
 		return result.TimedOut
@@ -426,7 +432,9 @@
 	return result.Lost
 }
 
-func (s *sending) ask(ctx context.Context, target route.Target, request *relaypb.CarryRequest, wait, timeout time.Duration) (*relaypb.FateResponse, error) {
+// queryFate asks the node beside the target what became of an attempt. The node may hold
+// the query for wait until the attempt ends.
+func (s *sendState) queryFate(ctx context.Context, target route.Target, request *relaypb.CarryRequest, wait, timeout time.Duration) (*relaypb.FateResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	response, err := s.sender.Client.To(target.Address).Fate(ctx, connect.NewRequest(&relaypb.FateRequest{
@@ -440,19 +448,19 @@
 	return response.Msg, nil
 }
 
-func (s *sending) pause(ctx context.Context) {
+func (s *sendState) pause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-s.sender.Clock.After(fatePause):
+	case <-s.sender.Clock.After(pollInterval):
 	}
 }
 
-// outcome tells the route what an answer says about the target.
-func outcome(code result.Code) route.Outcome {
+// outcomeOf returns what the code of an answer says about the target.
+func outcomeOf(code result.Code) route.Outcome {
 	switch code {
 	case result.Unreachable, result.OtherIncarnation:
-		// Another process at the address says nothing of the one that was meant,
-		// but that it is not there.
+		// An answer from another process at the address only shows that the intended one
+		// is gone.
 		return route.Unreachable
 	case result.PartlyRun, result.Cancelled, result.CancelledLate, result.NoOwner, result.OwnerUnclear, result.BudgetSpent:
 		return route.Blameless
--- a/internal/entry/shared_test.go
+++ b/internal/entry/shared_test.go
@@ -13,13 +13,13 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// A repeat that the node beside the target refuses for the shared budget did not
-// take place: the answer before it goes to the caller, and the next call does not
-// ask for a repeat again so soon.
+// A retry that the node beside the target refuses for the shared budget did not take
+// place: the answer before it goes to the caller, and the next call asks for no retry so
+// soon after.
 func TestRefusedRepeatLeavesTheAnswerBeforeIt(t *testing.T) {
 	is := is.New(t)
 	var asked []relaypb.Earlier
-	s := newNear(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
+	s := newLocalSender(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
 		asked = append(asked, request.Earlier)
 		if request.Earlier != relaypb.Earlier_EARLIER_UNSPECIFIED {
 			return &relaypb.CarryResponse{AttemptId: request.AttemptId, Code: uint32(result.BudgetSpent)}
--- a/internal/entry/silent_test.go
+++ b/internal/entry/silent_test.go
@@ -34,21 +34,21 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// wire forwards TCP connections, and can make those that are open go silent in
-// one direction or both while new ones work.
-type wire struct {
+// proxy forwards TCP connections. It can drop what flows over the open ones, in one
+// direction or both, while new connections work.
+type proxy struct {
 	listener net.Listener
 	to       string
 	mu       sync.Mutex
-	open     []*mute
-	// still holds everything back while it is locked, as a node does that
-	// stands still: connections open, and nothing is answered.
-	still sync.RWMutex
+	links    []*dropFlags
+	// stall blocks all forwarding while it is locked. The proxy then acts like a paused
+	// node: connections open, but nothing is answered.
+	stall sync.RWMutex
 }
 
-// mute holds back what flows in a direction once it is set.
-type mute struct {
-	toward, back atomic.Bool
+// dropFlags selects the directions in which a connection drops all data.
+type dropFlags struct {
+	toServer, toClient atomic.Bool
 }
 
 type relayStub struct {
@@ -56,30 +56,32 @@
 	server *local.Server
 }
 
-// bed is one sender, one node beside a target, and the wire between them.
-type bed struct {
+// testbed is a sender, a node beside a target, and the proxy between the two.
+type testbed struct {
 	sender *Sender
-	wire   *wire
-	// began receives a value when the target begins a call; the call ends when
-	// release is closed.
+	proxy  *proxy
+	// began receives a value when the target begins a call. The call ends when release is
+	// closed.
 	began   chan struct{}
 	release chan struct{}
 	runs    atomic.Int32
 }
 
+// A call whose connection goes silent after the target began it still returns its answer
+// and runs only once.
 func TestSilentConnectionLosesNothing(t *testing.T) {
-	for name, set := range map[string]func(s *mute){
-		"toward": func(s *mute) { s.toward.Store(true) },
-		"back":   func(s *mute) { s.back.Store(true) },
-		"both":   func(s *mute) { s.toward.Store(true); s.back.Store(true) },
+	for name, set := range map[string]func(s *dropFlags){
+		"toward": func(s *dropFlags) { s.toServer.Store(true) },
+		"back":   func(s *dropFlags) { s.toClient.Store(true) },
+		"both":   func(s *dropFlags) { s.toServer.Store(true); s.toClient.Store(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBed(t)
+			b := newTestbed(t)
 			answers := make(chan *call.Answer, 1)
 			go func() { answers <- b.send(order()) }()
 			<-b.began
-			b.wire.silence(set)
+			b.proxy.dropData(set)
 			close(b.release)
 			answer := <-answers
 			is.Equal(answer.Code, result.OK)
@@ -89,15 +91,15 @@
 	}
 }
 
-// A connection that was silent before the call is sent must not make the call
-// run: the node never saw it, and says so for good.
+// A call sent over a connection that is already silent must not run. The node never saw
+// the attempt, says so, and will not run it later.
 func TestCallOnSilentConnectionIsNotRun(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
+	b := newTestbed(t)
 	close(b.release)
 	is.Equal(b.send(order()).Code, result.OK)
 	<-b.began
-	b.wire.silence(func(s *mute) { s.toward.Store(true) })
+	b.proxy.dropData(func(s *dropFlags) { s.toServer.Store(true) })
 	c := order()
 	c.Tokens = call.NewTokens(0)
 	answer := b.send(c)
@@ -105,35 +107,35 @@
 	is.Equal(b.runs.Load(), int32(1))
 }
 
-// A node that stands still may go on within the deadline, and then it knows what
-// became of the call. One that may run only once waits for that.
+// A paused node may resume before the deadline and then knows what became of the call. A
+// call that may run only once waits for this.
 func TestCallOutlastsAStandstillOfItsNode(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	b := newBed(t)
+	b := newTestbed(t)
 	answers := make(chan *call.Answer, 1)
 	go func() { answers <- b.send(order()) }()
 	<-b.began
-	b.wire.still.Lock()
+	b.proxy.stall.Lock()
 	close(b.release)
-	time.Sleep(fateQuestions*(fateTimeout+fatePause) + time.Second)
-	b.wire.still.Unlock()
+	time.Sleep(maxFateQueries*(fateTimeout+pollInterval) + time.Second)
+	b.proxy.stall.Unlock()
 	answer := <-answers
 	is.Equal(answer.Code, result.OK)
 	is.Equal(string(answer.Body), "whole")
 	is.Equal(b.runs.Load(), int32(1))
 }
 
-// send sends a call within its deadline, as the filter chain does.
-func (b *bed) send(c *call.Call) *call.Answer {
+// send sends a call with its deadline on the context, as the filter chain does.
+func (b *testbed) send(c *call.Call) *call.Answer {
 	ctx, cancel := context.WithDeadline(context.Background(), c.Deadline)
 	defer cancel()
 	return b.sender.Send(ctx, c)
 }
 
-func newBed(t *testing.T) *bed {
+func newTestbed(t *testing.T) *testbed {
 	t.Helper()
-	b := &bed{began: make(chan struct{}, 8), release: make(chan struct{})}
+	b := &testbed{began: make(chan struct{}, 8), release: make(chan struct{})}
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		b.runs.Add(1)
 		b.began <- struct{}{}
@@ -141,7 +143,7 @@
 		_, _ = io.WriteString(w, "whole")
 	}))
 	t.Cleanup(target.Close)
-	b.wire = newWire(t, serveRelay(t, newServer(target.URL)))
+	b.proxy = newProxy(t, serveRelay(t, newServer(target.URL)))
 	b.sender = &Sender{
 		Clock:      clock.System{},
 		Metrics:    metric.New(),
@@ -153,11 +155,11 @@
 		Moved:      func() {},
 	}
 	b.sender.Init(admit.NewDoor())
-	b.sender.Update(order().Kind.Service, []route.Target{{Name: "node", Incarnation: "inc-1", Address: b.wire.listener.Addr().String()}})
+	b.sender.Update(order().Kind.Service, []route.Target{{Name: "node", Incarnation: "inc-1", Address: b.proxy.listener.Addr().String()}})
 	return b
 }
 
-// newServer returns the node beside a target that serves orders.
+// newServer returns the server of a node beside a target of the service orders.
 func newServer(url string) *local.Server {
 	kind := order().Kind
 	return local.New(local.Settings{
@@ -218,60 +220,60 @@
 	return connect.NewResponse(r.server.Fate(ctx, request.Msg)), nil
 }
 
-func newWire(t *testing.T, to string) *wire {
+func newProxy(t *testing.T, to string) *proxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &wire{listener: listener, to: to}
+	p := &proxy{listener: listener, to: to}
 	t.Cleanup(func() { _ = listener.Close() })
-	go w.accept()
-	return w
+	go p.accept()
+	return p
 }
 
-func (w *wire) accept() {
+func (p *proxy) accept() {
 	for {
-		near, err := w.listener.Accept()
+		near, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", w.to)
+		far, err := net.Dial("tcp", p.to)
 		if err != nil {
 			_ = near.Close()
 			continue
 		}
-		s := &mute{}
-		w.mu.Lock()
-		w.open = append(w.open, s)
-		w.mu.Unlock()
-		go w.forward(far, near, &s.toward)
-		go w.forward(near, far, &s.back)
+		s := &dropFlags{}
+		p.mu.Lock()
+		p.links = append(p.links, s)
+		p.mu.Unlock()
+		go p.forward(far, near, &s.toServer)
+		go p.forward(near, far, &s.toClient)
 	}
 }
 
-func (w *wire) silence(set func(s *mute)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, s := range w.open {
+func (p *proxy) dropData(set func(s *dropFlags)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, s := range p.links {
 		set(s)
 	}
 }
 
-// forward copies until the end; what comes while it is silent is lost.
-func (w *wire) forward(to io.Writer, from io.Reader, silent *atomic.Bool) {
+// forward copies until the connection ends. Data that arrives while drop is set is lost.
+func (p *proxy) forward(to io.Writer, from io.Reader, drop *atomic.Bool) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
-		if silent.Load() {
+		if drop.Load() {
 			continue
 		}
-		w.still.RLock()
+		p.stall.RLock()
 		_, err = to.Write(buffer[:n])
-		w.still.RUnlock()
+		p.stall.RUnlock()
 		if err != nil {
 			return
 		}
--- a/internal/entry/unreached_test.go
+++ b/internal/entry/unreached_test.go
@@ -12,46 +12,46 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// As many targets as a request has tokens may be down before the last one is
-// found: what was lent with an attempt that reached nobody is not lost.
+// Tokens lent with an attempt that reached no target are not lost, so a call with three
+// tokens still finds the one live target after three that are down.
 func TestUnreachedAttemptKeepsItsLoan(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
+	b := newTestbed(t)
 	close(b.release)
 	c := order()
 	c.Kind.Repeat = schema.Safe
-	live := b.wire.listener.Addr().String()
+	live := b.proxy.listener.Addr().String()
 	b.sender.Update(c.Kind.Service, []route.Target{
 		{Name: "a", Incarnation: "a", Address: closedPort(t)},
 		{Name: "b", Incarnation: "b", Address: closedPort(t)},
 		{Name: "c", Incarnation: "c", Address: closedPort(t)},
 		{Name: "z", Incarnation: "inc-1", Address: live},
 	})
-	one := &sending{sender: b.sender, call: c, tried: map[string]bool{"z": true}}
+	state := &sendState{sender: b.sender, call: c, tried: map[string]bool{"z": true}}
 	for range 3 {
-		answer := one.attempt(context.Background())
+		answer := state.attempt(context.Background())
 		is.Equal(answer.Code, result.Unreachable)
-		is.True(one.again(context.Background(), answer))
+		is.True(state.prepareRetry(context.Background(), answer))
 	}
-	delete(one.tried, "z")
-	is.Equal(one.attempt(context.Background()).Code, result.OK)
+	delete(state.tried, "z")
+	is.Equal(state.attempt(context.Background()).Code, result.OK)
 	is.Equal(c.Tokens.Left(), 0)
 }
 
-// Attempts that reached no target were no load to the service, so that they
-// leave its allowance to others; those that it refused do not.
+// Attempts that reached no target put no load on the service, so retries after them are not
+// charged to its allowance. Retries after refused attempts are.
 func TestUnreachedAttemptsLeaveTheAllowance(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
+	b := newTestbed(t)
 	c := order()
 	for range 2 * retryBurst {
-		is.True(b.sender.mayRepeat(c, result.Unreachable, 0))
+		is.True(b.sender.mayRetry(c, result.Unreachable, 0))
 	}
-	// The last of the burst has faded by a little.
+	// The saved retries fade over time, so that one fewer than the burst is left.
 	for range retryBurst - 1 {
-		is.True(b.sender.mayRepeat(c, result.Overloaded, 0))
+		is.True(b.sender.mayRetry(c, result.Overloaded, 0))
 	}
-	is.True(!b.sender.mayRepeat(c, result.Overloaded, 0))
+	is.True(!b.sender.mayRetry(c, result.Overloaded, 0))
 }
 
 func closedPort(t *testing.T) string {
--- a/internal/route/choice.go
+++ b/internal/route/choice.go
@@ -8,49 +8,50 @@
 )
 
 const (
-	// spillAbove is the pressure at which the next tier opens. It lies above
-	// that of a service which is merely well used.
-	spillAbove = 0.9
-	// spillBelow is the pressure that the nearer tiers must not exceed with
-	// the work of the farthest one before that closes again.
-	spillBelow = 0.7
-	// minUsableShare is the share of targets that stays in use. When more
-	// look bad, the fault is likely elsewhere and all are used.
+	// openTierPressure is the pressure of the open tiers at which the next one opens. It
+	// is above that of a service which is merely well used.
+	openTierPressure = 0.9
+	// closeTierPressure is the pressure that the nearer tiers must stay below with the
+	// load of the farthest open tier added, so that this tier closes again.
+	closeTierPressure = 0.7
+	// minUsableShare is the least share of targets that stays in use. If fewer look
+	// healthy, the fault is likely elsewhere, and all targets are used.
 	minUsableShare = 1.0 / 3
-	// unknownDistance places data centres without a declared distance behind
-	// the others of the region.
+	// unknownDistance places data centres without a declared distance after the others of
+	// the region.
 	unknownDistance = time.Hour
-	// regionDistance places other regions behind the own one.
+	// regionDistance places other regions after the local one.
 	regionDistance = 24 * time.Hour
 )
 
-// group sorts the targets into tiers by data centre.
+// group sorts the targets into one tier for each data centre, the nearest first.
 func (t *Table) group() {
-	type place struct {
+	type location struct {
 		distance   time.Duration
 		dataCentre string
 	}
-	byPlace := map[place][]*entry{}
+	byLocation := map[location][]*entry{}
 	for _, e := range t.entries {
-		p := place{distance: t.distance(e.target), dataCentre: e.target.DataCentre}
-		byPlace[p] = append(byPlace[p], e)
+		p := location{distance: t.distance(e.target), dataCentre: e.target.DataCentre}
+		byLocation[p] = append(byLocation[p], e)
 	}
-	places := make([]place, 0, len(byPlace))
-	for p := range byPlace {
-		places = append(places, p)
+	locations := make([]location, 0, len(byLocation))
+	for p := range byLocation {
+		locations = append(locations, p)
 	}
-	slices.SortFunc(places, func(a, b place) int {
+	slices.SortFunc(locations, func(a, b location) int {
 		return cmp.Or(cmp.Compare(a.distance, b.distance), strings.Compare(a.dataCentre, b.dataCentre))
 	})
 	t.tiers = nil
-	for _, p := range places {
-		tier := byPlace[p]
+	for _, p := range locations {
+		tier := byLocation[p]
 		slices.SortFunc(tier, func(a, b *entry) int { return strings.Compare(a.target.Name, b.target.Name) })
 		t.tiers = append(t.tiers, tier)
 	}
-	t.open = max(1, min(t.open, len(t.tiers)))
+	t.openTiers = max(1, min(t.openTiers, len(t.tiers)))
 }
 
+// distance returns how far away a target is for the order of the tiers.
 func (t *Table) distance(target Target) time.Duration {
 	if target.DataCentre == t.settings.DataCentre {
 		return 0
@@ -65,31 +66,32 @@
 	return distance
 }
 
-// spill opens one more tier when the open ones are full, and closes the
-// farthest when the others have room for its work. The work that would move
-// is counted in, so that closing a tier never leads to opening it again.
-func (t *Table) spill(now time.Time) {
-	load, limit := t.sum(now, t.open)
-	if t.open < len(t.tiers) && load >= spillAbove*limit {
-		t.open++
+// adjustOpenTiers opens one more tier if the open ones are full, and closes the farthest if
+// the others have room for its load. The load that would move is included, so that closing
+// a tier does not by itself cause it to open again.
+func (t *Table) adjustOpenTiers(now time.Time) {
+	load, limit := t.loadAndLimit(now, t.openTiers)
+	if t.openTiers < len(t.tiers) && load >= openTierPressure*limit {
+		t.openTiers++
 		return
 	}
-	if t.open <= 1 {
+	if t.openTiers <= 1 {
 		return
 	}
-	_, nearLimit := t.sum(now, t.open-1)
-	if load < spillBelow*nearLimit {
-		t.open--
+	_, nearLimit := t.loadAndLimit(now, t.openTiers-1)
+	if load < closeTierPressure*nearLimit {
+		t.openTiers--
 	}
 }
 
-// sum returns the load of the open tiers and the limit of their usable targets.
-func (t *Table) sum(now time.Time, open int) (load, limit float64) {
-	inUse := t.inUse()
+// loadAndLimit returns the load of the nearest open tiers, and the sum of the limits of
+// their targets that have room for calls.
+func (t *Table) loadAndLimit(now time.Time, open int) (load, limit float64) {
+	rates := t.usableRates()
 	for _, tier := range t.tiers[:min(open, len(t.tiers))] {
 		for _, e := range tier {
 			load += e.load(now)
-			if e.usable() && !e.refusing(now) && !inUse.poor(e) {
+			if e.usable() && !e.refusedRecently(now) && !rates.underperforms(e) {
 				limit += e.limit()
 			}
 		}
@@ -97,15 +99,15 @@
 	return load, limit
 }
 
-// pick chooses from the open tiers: a target that is due for its trial call,
-// or else the less loaded of two drawn at random. Where all targets leave, as
-// when their nodes are restarted one after the other, it chooses one of these.
-func (t *Table) pick(now time.Time, open int, not map[string]bool) *entry {
+// pick chooses a target from the open tiers: one that is due for its trial call, or else
+// the less loaded of two random ones. If all targets are leaving, as when their nodes are
+// restarted one after the other, it chooses one of them.
+func (t *Table) pick(now time.Time, open int, exclude map[string]bool) *entry {
 	var usable, ejected, leaving []*entry
 	for _, tier := range t.tiers[:open] {
 		for _, e := range tier {
 			switch {
-			case not[e.target.Name]:
+			case exclude[e.target.Name]:
 			case e.target.Leaving:
 				leaving = append(leaving, e)
 			case e.dueForTrial(now):
@@ -121,14 +123,14 @@
 		usable = append(usable, ejected...)
 	}
 	if len(usable)+len(ejected) == 0 && open == len(t.tiers) {
-		// One that leaves may still take a call, and says so if it does not.
+		// A leaving target may still accept calls, and refuses them explicitly if not.
 		usable = leaving
 	}
 	return t.lessLoaded(now, usable)
 }
 
-// fewUsable reports whether so many targets are ejected that they are used
-// nevertheless. All tiers count: a data centre often has just one target.
+// fewUsable reports whether so many targets are ejected that ejected ones must be used as
+// well. It counts all tiers, because a data centre often has just one target.
 func (t *Table) fewUsable() bool {
 	staying, usable := 0, 0
 	for _, e := range t.entries {
@@ -143,24 +145,24 @@
 	return float64(usable) < minUsableShare*float64(staying)
 }
 
-// worse reports whether the target does worse than the others that are in use.
-// When a service as a whole is slow or failing, every target looks bad. To
-// eject some by chance would keep them out after it has recovered, and while
-// it lasts they would seem to have room for what the door holds back.
-func (t *Table) worse(e *entry) bool {
-	others := t.inUse().beside(e)
-	return others >= othersAcceptable && e.success < worseThanOthers*others
+// isOutlier reports whether the target has a clearly lower success rate than the other
+// usable ones. If a service as a whole is slow or failing, every target looks bad. Ejecting
+// some at random would keep them out of use after the service has recovered. Until then
+// they would also seem to have room for the requests that are refused at the entry.
+func (t *Table) isOutlier(e *entry) bool {
+	peers := t.usableRates().meanWithout(e)
+	return peers >= minPeerSuccess && e.success < outlierRatio*peers
 }
 
-// successes sums up the shares of successes of targets.
-type successes struct {
+// successRates sums up the success rates of targets.
+type successRates struct {
 	sum   float64
 	count int
 }
 
-// inUse returns the successes of the targets that are in use.
-func (t *Table) inUse() successes {
-	var s successes
+// usableRates returns the success rates of the usable targets.
+func (t *Table) usableRates() successRates {
+	var s successRates
 	for _, e := range t.entries {
 		if e.usable() {
 			s.sum += e.success
@@ -170,8 +172,9 @@
 	return s
 }
 
-// beside returns the mean share of the targets other than one, 0 if there are none.
-func (s successes) beside(e *entry) float64 {
+// meanWithout returns the mean success rate of the targets other than e, or 0 if there are
+// none.
+func (s successRates) meanWithout(e *entry) float64 {
 	if e.usable() {
 		s.sum -= e.success
 		s.count--
@@ -179,26 +182,25 @@
 	return s.sum / float64(max(s.count, 1))
 }
 
-// poor reports whether a target that is not bad enough to be ejected loses so many
-// more calls than the others that it has room for none while they have. A request
-// that needs several calls fails by one of them.
-func (s successes) poor(e *entry) bool {
-	others := s.beside(e)
-	return others >= othersAcceptable && e.success < poorBesideOthers*others
+// underperforms reports whether a target loses so many more calls than the others that its
+// limit does not count as room for calls, although the loss rate is too low for ejection. A
+// request that needs several calls fails if one of them is lost.
+func (s successRates) underperforms(e *entry) bool {
+	peers := s.meanWithout(e)
+	return peers >= minPeerSuccess && e.success < underperformRatio*peers
 }
 
-// lessLoaded draws two targets and returns the one under less pressure.
-// Drawing only two keeps many nodes with the same stale reports from all
-// choosing the same target.
+// lessLoaded picks two targets at random and returns the one with the lower score. Comparing
+// only two keeps many nodes with the same stale reports from all choosing the same target.
 func (t *Table) lessLoaded(now time.Time, from []*entry) *entry {
 	if len(from) == 0 {
 		return nil
 	}
-	first := t.draw(len(from))
+	first := t.randomIndex(len(from))
 	if len(from) == 1 {
 		return from[first]
 	}
-	second := t.draw(len(from) - 1)
+	second := t.randomIndex(len(from) - 1)
 	if second >= first {
 		second++
 	}
@@ -208,6 +210,7 @@
 	return from[first]
 }
 
-func (t *Table) draw(n int) int {
+// randomIndex returns a random number in [0, n).
+func (t *Table) randomIndex(n int) int {
 	return min(int(t.settings.Random()*float64(n)), n-1)
 }
--- a/internal/route/entry.go
+++ b/internal/route/entry.go
@@ -3,69 +3,71 @@
 import "time"
 
 const (
-	// defaultLimit stands in until the target's node has reported one.
+	// defaultLimit is the limit of a target, in calls, until its node has reported one or
+	// the target has declared its slots.
 	defaultLimit = 100
-	// coldShare scales the limit of a cold target that has not reported one.
+	// coldShare scales the limit of a cold target whose node has not reported one.
 	coldShare = 0.2
-	// reportValid is how long a reported load counts.
-	reportValid = time.Second
-	// refusalValid is how long a target that refused for load counts as full.
-	refusalValid = 100 * time.Millisecond
+	// reportTTL is how long a reported load is used.
+	reportTTL = time.Second
+	// refusalTTL is how long a target counts as full after it refused a call for load.
+	refusalTTL = 100 * time.Millisecond
 
-	successWeight = 0.1 // per unit of weight of an outcome
+	successWeight = 0.1 // weight of an outcome in the success rate, per unit of failure weight
 	minSuccess    = 0.05
 	latencyWeight = 0.1
 
-	// A target is ejected after this many failures in a row, silent calls
-	// weighing more because each one has cost a caller its whole patience.
-	ejectAfter      = 5
-	failureWeight   = 1
-	silenceWeight   = 2
-	unreachedWeight = 2
-	// ejectBelow is the share of successes under which a target is ejected
-	// even when some calls complete in between.
+	// A target is ejected once its consecutive failures reach ejectAfter by weight. Silent
+	// calls weigh more because each one has kept a caller waiting until it gave up.
+	ejectAfter        = 5
+	failureWeight     = 1
+	silentWeight      = 2
+	unreachableWeight = 2
+	// ejectBelow is the success rate below which a target is ejected even if some calls
+	// complete in between.
 	ejectBelow = 0.5
-	// othersAcceptable is the mean share that the other targets must reach
-	// for one to be ejected, and worseThanOthers how far below that mean its
-	// own share must lie.
-	othersAcceptable = 0.6
-	worseThanOthers  = 0.5
-	// poorBesideOthers is how far below that mean the share of a target must lie
-	// for others to be used before it. Three lost calls in a row take it there.
-	poorBesideOthers = 0.75
+	// minPeerSuccess is the mean success rate that the other targets must reach before a
+	// target is ejected, and outlierRatio the fraction of that mean that the target's own
+	// rate must be below.
+	minPeerSuccess = 0.6
+	outlierRatio   = 0.5
+	// underperformRatio is the fraction of that mean below which a target's success rate
+	// makes others preferred. Three lost calls in a row bring a target there.
+	underperformRatio = 0.75
 
 	firstEjection = 500 * time.Millisecond
-	// maxEjection bounds the ejection of a target that cannot be reached or
-	// stays silent. One that answers is tried again sooner, because a service
-	// that was overloaded must be in full use 2 s after.
+	// maxEjection bounds the ejection of a target that is unreachable or silent. A target
+	// that answers with failures is tried again sooner, within maxFailingEjection, because
+	// a service that was overloaded must be in full use again 2 s later.
 	maxEjection        = 5 * time.Second
 	maxFailingEjection = 1500 * time.Millisecond
 	ejectJitter        = 0.25
-	// restoreAfter completed calls in a row forget the former ejections.
-	restoreAfter = 20
+	// ejectionResetAfter is how many consecutive completed calls reset the number of
+	// ejections, which determines the length of the next one.
+	ejectionResetAfter = 20
 )
 
-// entry is what a table knows of one target.
+// entry is a table's state for one target.
 type entry struct {
 	target   Target
 	inFlight int
-	// success is the smoothed share of calls that completed.
+	// success is the success rate: the smoothed share of calls that completed.
 	success float64
 	latency time.Duration
-	// reported is the load that the target's node gave last, at reportedAt.
-	reported    int
-	offered     float64
-	limitGiven  int
-	lastReport  Report
-	reportedAt  time.Time
-	sentSince   int
-	refusedAt   time.Time
-	failures    int // weighted, in a row
-	completions int // in a row
-	ejections   int
+	// reportedLoad is the load that the target's node last reported, at reportedAt.
+	reportedLoad  int
+	offeredLoad   float64
+	reportedLimit int
+	lastReport    Report
+	reportedAt    time.Time
+	sentSince     int
+	refusedAt     time.Time
+	failures      int // weighted, in a row
+	completions   int // in a row
+	ejections     int
 	// ejectedUntil stays set until a trial call has completed.
 	ejectedUntil time.Time
-	// trialUntil bounds how long one trial call keeps others away.
+	// trialUntil bounds how long one trial call keeps other calls from the target.
 	trialUntil time.Time
 }
 
@@ -73,7 +75,7 @@
 	return &entry{target: target, success: 1}
 }
 
-// sent counts a call that is on its way to the target.
+// sent counts a call as in flight to the target.
 func (e *entry) sent(now time.Time) {
 	e.inFlight++
 	e.sentSince++
@@ -82,13 +84,14 @@
 	}
 }
 
-// ended takes in the end of a call and reports whether the target looks bad.
+// ended records the end of a call and reports whether the target looks bad enough to be
+// ejected.
 func (e *entry) ended(now time.Time, r Report) bool {
 	e.inFlight = max(0, e.inFlight-1)
 	if r.Known {
-		e.reported = r.InFlight + r.Queued
-		e.offered = r.Offered
-		e.limitGiven = r.Limit
+		e.reportedLoad = r.InFlight + r.Queued
+		e.offeredLoad = r.Offered
+		e.reportedLimit = r.Limit
 		e.lastReport = r
 		e.reportedAt = now
 		e.sentSince = 0
@@ -103,14 +106,15 @@
 	case Failed:
 		return e.failed(now, failureWeight)
 	case Silent:
-		return e.failed(now, silenceWeight)
+		return e.failed(now, silentWeight)
 	case Unreachable:
-		return e.failed(now, unreachedWeight)
+		return e.failed(now, unreachableWeight)
 	case Blameless:
 	}
 	return false
 }
 
+// completed records a completed call.
 func (e *entry) completed(latency time.Duration) {
 	if e.latency == 0 {
 		e.latency = latency
@@ -119,20 +123,20 @@
 	e.success += successWeight * (1 - e.success)
 	e.restore()
 	e.completions++
-	if e.completions >= restoreAfter {
+	if e.completions >= ejectionResetAfter {
 		e.ejections = 0
 	}
 }
 
-// restore ends an ejection. The share of successes stays: the target earns
-// trust by the calls that it completes from now on.
+// restore ends an ejection. It keeps the success rate, which recovers only with the calls
+// that the target completes from then on.
 func (e *entry) restore() {
 	e.failures = 0
 	e.ejectedUntil = time.Time{}
 	e.trialUntil = time.Time{}
 }
 
-// failed takes in a failure and reports whether the target looks bad.
+// failed records a failure and reports whether the target looks bad enough to be ejected.
 func (e *entry) failed(now time.Time, weight int) bool {
 	e.completions = 0
 	e.failures += weight
@@ -143,8 +147,8 @@
 	return e.failures >= ejectAfter || e.success < ejectBelow
 }
 
-// eject keeps calls away from the target, twice as long with each ejection in
-// a row. The jitter keeps nodes from trying it again all at the same moment.
+// eject keeps calls from the target, for twice as long with each consecutive ejection. The
+// jitter keeps nodes from all retrying the target at the same moment.
 func (e *entry) eject(now time.Time, o Outcome, random func() float64) {
 	longest := maxEjection
 	if o == Failed {
@@ -157,25 +161,26 @@
 	e.trialUntil = time.Time{}
 }
 
-// usable reports whether calls may be sent freely.
+// usable reports whether the target is neither leaving nor ejected.
 func (e *entry) usable() bool {
 	return !e.target.Leaving && e.ejectedUntil.IsZero()
 }
 
-// dueForTrial reports whether the ejection has run out and no trial call is
-// under way.
+// dueForTrial reports whether the ejection time is over and no trial call is in flight.
 func (e *entry) dueForTrial(now time.Time) bool {
 	return !e.ejectedUntil.IsZero() && !now.Before(e.ejectedUntil) && !now.Before(e.trialUntil)
 }
 
-// refusing reports whether the target has just refused for load.
-func (e *entry) refusing(now time.Time) bool {
-	return !e.refusedAt.IsZero() && now.Sub(e.refusedAt) < refusalValid
+// refusedRecently reports whether the target refused a call for load within refusalTTL.
+func (e *entry) refusedRecently(now time.Time) bool {
+	return !e.refusedAt.IsZero() && now.Sub(e.refusedAt) < refusalTTL
 }
 
+// limit returns how many calls the target takes at the same time, as last reported by its
+// node or else as estimated.
 func (e *entry) limit() float64 {
-	if e.limitGiven > 0 {
-		return float64(e.limitGiven)
+	if e.reportedLimit > 0 {
+		return float64(e.reportedLimit)
 	}
 	limit := float64(defaultLimit)
 	if e.target.Slots > 0 {
@@ -187,28 +192,28 @@
 	return limit
 }
 
-// load estimates how many calls the target has: those of this node, or what
-// its own node reported and was sent since, if that is more.
+// load estimates how many calls the target has: those in flight from this node or, if that
+// is more, those that its own node reported plus those sent since.
 func (e *entry) load(now time.Time) float64 {
-	if e.reportedAt.IsZero() || now.Sub(e.reportedAt) > reportValid {
+	if e.reportedAt.IsZero() || now.Sub(e.reportedAt) > reportTTL {
 		return float64(e.inFlight)
 	}
-	return float64(max(e.inFlight, e.reported+e.sentSince))
+	return float64(max(e.inFlight, e.reportedLoad+e.sentSince))
 }
 
+// pressure returns the estimated load relative to the limit.
 func (e *entry) pressure(now time.Time) float64 {
 	return e.load(now) / e.limit()
 }
 
-// score orders targets for the choice. Dividing by the share of calls that
-// complete keeps a target that fails fast, and therefore looks idle, from
-// drawing calls to itself. It counts more than once, since a lost call costs its
-// caller more than a wait does: a target that loses half of them gets calls when
-// the others are eight times as full.
+// score ranks targets for the choice; lower is better. Dividing by the success rate keeps a
+// target that fails fast, and therefore looks idle, from attracting calls. The rate enters
+// as its cube, since a lost call costs the caller more than a wait does: a target that loses
+// half of its calls is chosen only once the others are eight times as full.
 func (e *entry) score(now time.Time) float64 {
 	trust := e.success * e.success * e.success
 	score := (e.load(now) + 1) / e.limit() / max(trust, minSuccess)
-	if e.refusing(now) {
+	if e.refusedRecently(now) {
 		score++
 	}
 	return score
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,11 +1,11 @@
 // Package route chooses the target that a call is sent to.
 //
-// A Table knows the targets of one service. It judges them by what calls to
-// them show: how many are in flight, how they ended, and the load that answers
-// report. Endpoints of the targets take no part.
+// A Table holds the targets of one service. It judges them only by the calls sent to them:
+// how many are in flight, how they ended, and the load that answers report. It queries no
+// endpoints of the targets.
 //
-// Everything here is a pure decision: the caller passes in the time. Nothing
-// is safe for concurrent use.
+// A Table does no I/O, and the caller passes in the time. Unlike Splits, it is not safe for
+// concurrent use.
 package route
 
 import (
@@ -14,67 +14,68 @@
 	"time"
 )
 
-// Outcome is how a call to a target ended.
+// Outcome classifies how a call ended, as far as this says something about the target.
 type Outcome uint8
 
-// The outcomes.
+// Values of Outcome.
 const (
 	// Complete means that the target did the work and answered.
 	Complete Outcome = iota
-	// Failed means that the target failed or ran out of time, and its node
-	// answered so.
+	// Failed means that the target failed or timed out, and that its node reported this.
 	Failed
-	// Silent means that no answer came, from the target's node either.
+	// Silent means that not even the target's node answered.
 	Silent
-	// Refused means that the target, or the node beside it, refused for load.
+	// Refused means that the target or the node beside it refused the call for load.
 	Refused
-	// Unreachable means that no connection could be opened.
+	// Unreachable means that no connection to the target's node could be opened, or that
+	// another process has taken its address.
 	Unreachable
-	// Blameless means that the call failed for a reason that says nothing of
-	// the target: a call that the target made itself was refused or failed, or
+	// Blameless means that the call failed for a reason that says nothing about the
+	// target: for instance, a call that the target made itself was refused or failed, or
 	// the caller went away.
 	Blameless
 )
 
 type (
-	// Target is one target of the service.
+	// Target describes one target of a service.
 	Target struct {
 		Name string
-		// Incarnation tells apart the processes that ran under the name.
+		// Incarnation distinguishes the processes that have run under the name.
 		Incarnation string
 		Address     string
 		DataCentre  string
 		Region      string
 		Leaving     bool
 		Cold        bool
-		// Slots is how many calls the target says that it takes at the same time;
-		// 0 when it does not say.
+		// Slots is how many calls the target declares to take at the same time, or 0 if
+		// it does not declare this.
 		Slots int
 	}
 
-	// Report is what the end of a call shows of its target.
+	// Report is what the end of a call reveals about its target.
 	Report struct {
 		Outcome Outcome
-		// Incarnation is the one that the call was sent to. A report on a
-		// former incarnation is passed over; empty means the present one.
+		// Incarnation is the incarnation that the call was sent to. Reports on former
+		// incarnations are ignored. Empty means the current one.
 		Incarnation string
 		// Latency is the time from sending the call to its end.
 		Latency  time.Duration
 		InFlight int
 		Limit    int
 		Queued   int
-		// Offered is how many slots the calls that arrive there would keep in use.
+		// Offered is how many slots all calls that arrive at the target would occupy.
 		Offered float64
 		Leaving bool
-		// Known says that InFlight, Limit, Queued and Leaving are set.
+		// Known is set if the load fields are: InFlight, Limit, Queued, Offered and
+		// Leaving.
 		Known bool
 	}
 
-	// Settings is what a table needs to know of its own place.
+	// Settings describes the location of the node that uses a table.
 	Settings struct {
 		DataCentre string
 		Region     string
-		// Distances holds the one-way time from here by data centre.
+		// Distances holds the one-way network latency to each data centre.
 		Distances map[string]time.Duration
 		// Random returns numbers in [0, 1).
 		Random func() float64
@@ -83,15 +84,15 @@
 	// State describes a target for status pages.
 	State struct {
 		Target Target
-		// InFlight counts this table's own calls.
+		// InFlight counts the calls sent by way of this table only.
 		InFlight int
 		// EjectedUntil is zero unless the target is ejected or on trial.
 		EjectedUntil time.Time
-		// Latency is the smoothed time of completed calls.
+		// Latency is the smoothed latency of completed calls.
 		Latency time.Duration
 		// Pressure is the estimated load relative to the target's limit.
 		Pressure float64
-		// Reported is the last report that told of the target's load.
+		// Reported is the last report with the target's load.
 		Reported Report
 	}
 
@@ -101,18 +102,18 @@
 		entries  map[string]*entry
 		// tiers groups the entries by distance, the nearest first.
 		tiers [][]*entry
-		// open is how many tiers take calls at the moment.
-		open int
+		// openTiers is how many tiers, counted from the nearest, currently take calls.
+		openTiers int
 	}
 )
 
 // New returns a table without targets.
 func New(s Settings) *Table {
-	return &Table{settings: s, entries: map[string]*entry{}, open: 1}
+	return &Table{settings: s, entries: map[string]*entry{}, openTiers: 1}
 }
 
-// Update replaces the list of targets. A target that stays keeps what was
-// learned of it; a new incarnation starts afresh.
+// Update replaces the list of targets. The state of targets that stay is kept; a new
+// incarnation starts without any.
 func (t *Table) Update(_ time.Time, targets []Target) {
 	entries := make(map[string]*entry, len(targets))
 	for _, target := range targets {
@@ -120,8 +121,8 @@
 		if e == nil || e.target.Incarnation != target.Incarnation {
 			e = newEntry(target)
 		}
-		// A target that said on an answer that it leaves does not come back,
-		// whatever an older listing says.
+		// A target that reported with an answer that it is leaving stays marked as
+		// leaving, since the listing may be older than the answer.
 		target.Leaving = target.Leaving || e.target.Leaving
 		e.target = target
 		entries[target.Name] = e
@@ -130,12 +131,12 @@
 	t.group()
 }
 
-// Choose picks a target for a call, leaving out the names given, and counts
-// the call as in flight. It returns false when no target is left.
-func (t *Table) Choose(now time.Time, not map[string]bool) (Target, bool) {
-	t.spill(now)
-	for open := t.open; open <= len(t.tiers); open++ {
-		if e := t.pick(now, open, not); e != nil {
+// Choose picks a target for a call and counts the call as in flight. It skips the targets
+// named in exclude, and returns false if none is left.
+func (t *Table) Choose(now time.Time, exclude map[string]bool) (Target, bool) {
+	t.adjustOpenTiers(now)
+	for open := t.openTiers; open <= len(t.tiers); open++ {
+		if e := t.pick(now, open, exclude); e != nil {
 			e.sent(now)
 			return e.target, true
 		}
@@ -143,10 +144,10 @@
 	return Target{}, false
 }
 
-// ChooseNamed returns the target of the incarnation and counts the call as in
-// flight. It returns leaving and ejected targets too: nobody else can answer
-// for what the incarnation owns, and the node there refuses new work itself.
-func (t *Table) ChooseNamed(now time.Time, incarnation string) (Target, bool) {
+// ChooseIncarnation returns the target with the incarnation and counts the call as in
+// flight. It returns leaving and ejected targets too: no other target can serve the keys
+// that the incarnation owns, and a leaving node refuses new work itself.
+func (t *Table) ChooseIncarnation(now time.Time, incarnation string) (Target, bool) {
 	for _, e := range t.entries {
 		if e.target.Incarnation == incarnation {
 			e.sent(now)
@@ -156,7 +157,8 @@
 	return Target{}, false
 }
 
-// Ended takes in the end of a call that was sent to the target of that name.
+// Ended records the end of a call that was sent to the target of that name, and ejects the
+// target if its calls fail clearly more often than those of others.
 func (t *Table) Ended(now time.Time, name string, r Report) {
 	e := t.entries[name]
 	if e == nil || (r.Incarnation != "" && r.Incarnation != e.target.Incarnation) {
@@ -165,23 +167,24 @@
 	if !e.ended(now, r) {
 		return
 	}
-	if t.worse(e) {
+	if t.isOutlier(e) {
 		e.eject(now, r.Outcome, t.settings.Random)
 		return
 	}
 	e.restore()
 }
 
-// Pressure returns how many slots the calls that arrive at the targets would keep in
-// use over the slots that they have, by what they reported, and whether a target that
-// stays reported of late: nothing else says how full the service is.
+// Pressure returns the ratio of the slots that the arriving calls would occupy to the slots
+// that the targets have, both as reported within reportTTL by targets that are not leaving.
+// It returns false if there is no such report, since nothing else tells how full the
+// service is.
 func (t *Table) Pressure(now time.Time) (pressure float64, known bool) {
 	load, limit := 0.0, 0.0
 	for _, e := range t.entries {
-		if e.reportedAt.IsZero() || now.Sub(e.reportedAt) > reportValid || e.target.Leaving {
+		if e.reportedAt.IsZero() || now.Sub(e.reportedAt) > reportTTL || e.target.Leaving {
 			continue
 		}
-		load += e.offered
+		load += e.offeredLoad
 		limit += e.limit()
 	}
 	if limit == 0 {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -11,99 +11,100 @@
 	"pgregory.net/rapid"
 )
 
-const fieldSlots = 30
+const slotsPerTarget = 30
 
 var testStart = time.Unix(1_000_000, 0)
 
 type (
-	// flight is a call under way, and how it will end.
-	flight struct {
+	// pendingCall is a call in flight, and how it will end.
+	pendingCall struct {
 		ends    time.Time
 		target  string
 		outcome Outcome
 	}
 
-	// field runs calls against targets in virtual time.
-	field struct {
-		table    *Table
-		random   *rand.Rand
-		now      time.Time
-		flights  []flight
-		running  map[string]int
-		answer   func(target string) (time.Duration, Outcome)
-		sent     map[string]int
-		failed   int
-		switches int // of the number of open tiers
+	// simulation runs calls against targets in virtual time.
+	simulation struct {
+		table       *Table
+		random      *rand.Rand
+		now         time.Time
+		pending     []pendingCall
+		running     map[string]int
+		answer      func(target string) (time.Duration, Outcome)
+		sent        map[string]int
+		failed      int
+		tierChanges int // changes of the number of open tiers
 	}
 )
 
-func newField(s Settings, targets []Target) *field {
-	f := &field{random: rand.New(rand.NewPCG(1, 1)), now: testStart, running: map[string]int{}, sent: map[string]int{}}
-	s.Random = f.random.Float64
-	f.table = New(s)
-	f.table.Update(f.now, targets)
-	f.heal()
-	return f
+func newSimulation(s Settings, targets []Target) *simulation {
+	sim := &simulation{random: rand.New(rand.NewPCG(1, 1)), now: testStart, running: map[string]int{}, sent: map[string]int{}}
+	s.Random = sim.random.Float64
+	sim.table = New(s)
+	sim.table.Update(sim.now, targets)
+	sim.restoreAll()
+	return sim
 }
 
-// heal lets all targets complete their calls.
-func (f *field) heal() {
-	f.answer = func(string) (time.Duration, Outcome) { return f.usual(), Complete }
+// restoreAll makes all targets complete their calls.
+func (sim *simulation) restoreAll() {
+	sim.answer = func(string) (time.Duration, Outcome) { return sim.normalLatency(), Complete }
 }
 
-// except lets one target end its calls otherwise than the rest, which complete.
-func (f *field) except(name string, took func() time.Duration, outcome Outcome) {
-	f.answer = func(target string) (time.Duration, Outcome) {
+// override makes one target end its calls with the latency and the outcome, while the
+// others complete theirs.
+func (sim *simulation) override(name string, took func() time.Duration, outcome Outcome) {
+	sim.answer = func(target string) (time.Duration, Outcome) {
 		if target == name {
 			return took(), outcome
 		}
-		return f.usual(), Complete
+		return sim.normalLatency(), Complete
 	}
 }
 
-func always(d time.Duration) func() time.Duration {
+func constant(d time.Duration) func() time.Duration {
 	return func() time.Duration { return d }
 }
 
-func (f *field) usual() time.Duration {
-	return time.Duration((0.5 + f.random.Float64()) * float64(100*time.Millisecond))
+func (sim *simulation) normalLatency() time.Duration {
+	return time.Duration((0.5 + sim.random.Float64()) * float64(100*time.Millisecond))
 }
 
-// run sends calls at the rate for the time.
-func (f *field) run(callsPerSecond float64, length time.Duration) {
-	end := f.now.Add(length)
-	for f.now.Before(end) {
-		f.now = f.now.Add(time.Duration(f.random.ExpFloat64() / callsPerSecond * float64(time.Second)))
-		f.flights = slices.DeleteFunc(f.flights, func(l flight) bool {
-			if l.ends.After(f.now) {
+// run sends calls at the rate for the duration.
+func (sim *simulation) run(callsPerSecond float64, length time.Duration) {
+	end := sim.now.Add(length)
+	for sim.now.Before(end) {
+		sim.now = sim.now.Add(time.Duration(sim.random.ExpFloat64() / callsPerSecond * float64(time.Second)))
+		sim.pending = slices.DeleteFunc(sim.pending, func(l pendingCall) bool {
+			if l.ends.After(sim.now) {
 				return false
 			}
-			f.running[l.target]--
-			f.table.Ended(f.now, l.target, Report{Outcome: l.outcome, Known: l.outcome != Silent, InFlight: f.running[l.target], Limit: fieldSlots})
+			sim.running[l.target]--
+			sim.table.Ended(sim.now, l.target, Report{Outcome: l.outcome, Known: l.outcome != Silent, InFlight: sim.running[l.target], Limit: slotsPerTarget})
 			if l.outcome != Complete {
-				f.failed++
+				sim.failed++
 			}
 			return true
 		})
-		open := f.table.open
-		target, ok := f.table.Choose(f.now, nil)
-		if f.table.open != open {
-			f.switches++
+		open := sim.table.openTiers
+		target, ok := sim.table.Choose(sim.now, nil)
+		if sim.table.openTiers != open {
+			sim.tierChanges++
 		}
 		if !ok {
 			continue
 		}
-		took, outcome := f.answer(target.Name)
-		f.sent[target.Name]++
-		f.running[target.Name]++
-		f.flights = append(f.flights, flight{ends: f.now.Add(took), target: target.Name, outcome: outcome})
+		took, outcome := sim.answer(target.Name)
+		sim.sent[target.Name]++
+		sim.running[target.Name]++
+		sim.pending = append(sim.pending, pendingCall{ends: sim.now.Add(took), target: target.Name, outcome: outcome})
 	}
 }
 
 // ejected returns the names of the targets that are ejected or on trial.
-func (f *field) ejected() []string {
+func (sim *simulation) ejected() []string {
 	var names []string
-	for _, s := range f.table.Targets(f.now) {
+	for _, s := range sim.table.Targets(sim.now) {
 		if !s.EjectedUntil.IsZero() {
 			names = append(names, s.Target.Name)
 		}
@@ -111,7 +112,7 @@
 	return names
 }
 
-// targetsIn returns three targets for each data centre: a0, a1, a2, b0...
+// targetsIn returns three targets for each data centre: a0, a1, a2, b0 and so on.
 func targetsIn(dataCentres ...string) []Target {
 	targets := make([]Target, 0, 3*len(dataCentres))
 	for _, dc := range dataCentres {
@@ -124,84 +125,84 @@
 
 func TestFastFailureDrawsNoCalls(t *testing.T) {
 	is := is.New(t)
-	f := newField(Settings{DataCentre: "a"}, targetsIn("a"))
-	f.except("a0", always(time.Millisecond), Failed)
-	f.run(400, 10*time.Second)
+	sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a"))
+	sim.override("a0", constant(time.Millisecond), Failed)
+	sim.run(400, 10*time.Second)
 	fair := 4000 / 3
-	t.Logf("failing target got %d calls, a fair share is %d", f.sent["a0"], fair)
-	is.True(f.sent["a0"] < fair/10)
-	is.Equal(f.ejected(), []string{"a0"})
+	t.Logf("failing target got %d calls, a fair share is %d", sim.sent["a0"], fair)
+	is.True(sim.sent["a0"] < fair/10)
+	is.Equal(sim.ejected(), []string{"a0"})
 }
 
 func TestSilentTargetIsEjectedAndTriedAgain(t *testing.T) {
 	is := is.New(t)
-	f := newField(Settings{DataCentre: "a"}, targetsIn("a"))
-	f.except("a0", always(time.Second), Silent)
-	f.run(300, 5*time.Second)
-	is.Equal(f.ejected(), []string{"a0"})
-	before := f.sent["a0"]
-	f.run(300, 10*time.Second)
-	is.True(f.sent["a0"] > before)    // it is tried again
-	is.True(f.sent["a0"] < before+20) // by few calls
-	f.heal()
-	f.run(300, 10*time.Second)
-	is.Equal(len(f.ejected()), 0)
-	before = f.sent["a0"]
-	f.run(300, 10*time.Second)
-	is.True(f.sent["a0"]-before > 3000/3/2) // and in full use once it answers
+	sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a"))
+	sim.override("a0", constant(time.Second), Silent)
+	sim.run(300, 5*time.Second)
+	is.Equal(sim.ejected(), []string{"a0"})
+	before := sim.sent["a0"]
+	sim.run(300, 10*time.Second)
+	is.True(sim.sent["a0"] > before)    // it is retried
+	is.True(sim.sent["a0"] < before+20) // with few calls
+	sim.restoreAll()
+	sim.run(300, 10*time.Second)
+	is.Equal(len(sim.ejected()), 0)
+	before = sim.sent["a0"]
+	sim.run(300, 10*time.Second)
+	is.True(sim.sent["a0"]-before > 3000/3/2) // it is in full use once it answers
 }
 
 func TestFailingServiceKeepsItsTargets(t *testing.T) {
 	for _, outcome := range []Outcome{Failed, Silent, Unreachable} {
 		is := is.New(t)
-		f := newField(Settings{DataCentre: "a"}, targetsIn("a"))
-		f.answer = func(string) (time.Duration, Outcome) { return 10 * time.Millisecond, outcome }
-		f.run(300, 10*time.Second)
-		is.True(len(f.sent) == 3 && f.sent["a0"]+f.sent["a1"]+f.sent["a2"] > 2500) // all are used
-		f.heal()
-		f.run(300, 2*time.Second)
-		f.failed = 0
-		f.run(300, time.Second)
-		is.Equal(f.failed, 0)
-		is.Equal(len(f.ejected()), 0) // 2 s after the fault all are in use
+		sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a"))
+		sim.answer = func(string) (time.Duration, Outcome) { return 10 * time.Millisecond, outcome }
+		sim.run(300, 10*time.Second)
+		is.True(len(sim.sent) == 3 && sim.sent["a0"]+sim.sent["a1"]+sim.sent["a2"] > 2500) // all are used
+		sim.restoreAll()
+		sim.run(300, 2*time.Second)
+		sim.failed = 0
+		sim.run(300, time.Second)
+		is.Equal(sim.failed, 0)
+		is.Equal(len(sim.ejected()), 0) // 2 s after the fault all are in use
 	}
 }
 
 func TestTroubleOfAllEjectsNobody(t *testing.T) {
 	is := is.New(t)
-	f := newField(Settings{DataCentre: "a"}, targetsIn("a"))
-	f.answer = func(string) (time.Duration, Outcome) {
-		if f.random.IntN(10) < 7 {
-			return f.usual(), Failed
+	sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a"))
+	sim.answer = func(string) (time.Duration, Outcome) {
+		if sim.random.IntN(10) < 7 {
+			return sim.normalLatency(), Failed
 		}
-		return f.usual(), Complete
+		return sim.normalLatency(), Complete
 	}
-	f.run(300, 2*time.Second) // until it shows that it is not one alone
+	sim.run(300, 2*time.Second) // until the success rates show that all targets fail
 	for range 100 {
-		f.run(300, 100*time.Millisecond)
-		is.Equal(len(f.ejected()), 0)
+		sim.run(300, 100*time.Millisecond)
+		is.Equal(len(sim.ejected()), 0)
 	}
 }
 
 func TestAShareOfTheTargetsStaysInUse(t *testing.T) {
 	is := is.New(t)
-	f := newField(Settings{DataCentre: "a"}, targetsIn("a", "b", "c"))
-	f.table.open = 3
+	sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a", "b", "c"))
+	sim.table.openTiers = 3
 	used := func() int {
 		names := map[string]bool{}
 		for range 300 {
-			target, _ := f.table.Choose(f.now, nil)
+			target, _ := sim.table.Choose(sim.now, nil)
 			names[target.Name] = true
-			f.table.Ended(f.now, target.Name, Report{Outcome: Blameless})
-			f.table.open = 3
+			sim.table.Ended(sim.now, target.Name, Report{Outcome: Blameless})
+			sim.table.openTiers = 3
 		}
 		return len(names)
 	}
 	for i, name := range []string{"a0", "a1", "a2", "b0", "b1", "b2", "c0"} {
 		for range 4 {
-			f.table.Ended(f.now, name, Report{Outcome: Unreachable})
+			sim.table.Ended(sim.now, name, Report{Outcome: Unreachable})
 		}
-		is.Equal(len(f.ejected()), i+1)
+		is.Equal(len(sim.ejected()), i+1)
 		if i == 5 {
 			is.Equal(used(), 3) // a third
 		}
@@ -211,42 +212,42 @@
 
 func TestDeeperFailureBlamesNobody(t *testing.T) {
 	is := is.New(t)
-	f := newField(Settings{DataCentre: "a"}, targetsIn("a"))
-	f.except("a0", f.usual, Blameless)
-	f.run(300, 5*time.Second)
-	is.Equal(len(f.ejected()), 0)
+	sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a"))
+	sim.override("a0", sim.normalLatency, Blameless)
+	sim.run(300, 5*time.Second)
+	is.Equal(len(sim.ejected()), 0)
 }
 
 func TestNearTargetsComeFirst(t *testing.T) {
 	is := is.New(t)
 	s := Settings{DataCentre: "a", Region: "r", Distances: map[string]time.Duration{"b": time.Millisecond, "c": 2 * time.Millisecond}}
-	f := newField(s, targetsIn("a", "b", "c"))
-	f.run(400, 5*time.Second) // 40 of 90 slots
-	is.Equal(len(f.sent), 3)
-	f.run(1200, 5*time.Second) // 120 of 180
-	is.True(f.sent["b0"] > 0)
-	is.Equal(f.sent["c0"], 0)
-	f.run(500, 5*time.Second)
-	is.Equal(f.table.open, 1) // back to the own data centre
+	sim := newSimulation(s, targetsIn("a", "b", "c"))
+	sim.run(400, 5*time.Second) // 40 of 90 slots
+	is.Equal(len(sim.sent), 3)
+	sim.run(1200, 5*time.Second) // 120 of 180
+	is.True(sim.sent["b0"] > 0)
+	is.Equal(sim.sent["c0"], 0)
+	sim.run(500, 5*time.Second)
+	is.Equal(sim.table.openTiers, 1) // back to the local data centre
 }
 
 func TestOneTargetInEachDataCentre(t *testing.T) {
 	is := is.New(t)
 	targets := targetsIn("a", "b", "c")
-	f := newField(Settings{DataCentre: "a"}, []Target{targets[0], targets[3], targets[6]})
-	f.except("a0", always(time.Millisecond), Unreachable)
-	f.run(200, 10*time.Second)
-	is.Equal(f.ejected(), []string{"a0"})
-	is.True(f.sent["a0"] < 2000/3/10) // a tenth of a fair share
-	is.True(f.sent["b0"] > 0)
+	sim := newSimulation(Settings{DataCentre: "a"}, []Target{targets[0], targets[3], targets[6]})
+	sim.override("a0", constant(time.Millisecond), Unreachable)
+	sim.run(200, 10*time.Second)
+	is.Equal(sim.ejected(), []string{"a0"})
+	is.True(sim.sent["a0"] < 2000/3/10) // a tenth of a fair share
+	is.True(sim.sent["b0"] > 0)
 }
 
 func TestSpillDoesNotFlap(t *testing.T) {
 	is := is.New(t)
-	f := newField(Settings{DataCentre: "a"}, targetsIn("a", "b"))
-	f.run(850, 30*time.Second) // 85 of 90 slots, where chance crosses the threshold
-	t.Logf("%d switches in 30 s", f.switches)
-	is.True(f.switches <= 30) // at most one a second
+	sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a", "b"))
+	sim.run(850, 30*time.Second) // 85 of 90 slots, where random variation crosses the threshold
+	t.Logf("%d switches in 30 s", sim.tierChanges)
+	is.True(sim.tierChanges <= 30) // at most one a second
 }
 
 func TestColdTargetGetsLess(t *testing.T) {
@@ -263,13 +264,14 @@
 	is.True(sent["a0"] > 0 && sent["a0"] < 15) // an even share is 30
 }
 
-// TestChoiceKeepsItsRules puts random lists of targets and ends of calls to a table.
+// With random lists of targets and outcomes of calls, the table must choose only present and
+// not excluded targets, and leaving ones only if no other target remains.
 func TestChoiceKeepsItsRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		table := New(Settings{DataCentre: "a", Random: random.Float64})
 		now := testStart
-		left := map[string]bool{} // incarnations that said that they leave
+		left := map[string]bool{} // incarnations that reported that they are leaving
 		present := map[string]Target{}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now = now.Add(time.Duration(random.IntN(400)) * time.Millisecond)
@@ -288,20 +290,20 @@
 				}
 				table.Update(now, listed)
 			}
-			not := map[string]bool{fmt.Sprint("a", random.IntN(3)): true}
-			target, ok := table.Choose(now, not)
+			exclude := map[string]bool{fmt.Sprint("a", random.IntN(3)): true}
+			target, ok := table.Choose(now, exclude)
 			takers := 0
 			for _, p := range present {
-				if !left[p.Incarnation] && !not[p.Name] {
+				if !left[p.Incarnation] && !exclude[p.Name] {
 					takers++
 				}
 			}
 			if !ok {
 				continue
 			}
-			// One that leaves is chosen only where nobody else is left.
-			if takers > 0 && left[target.Incarnation] || not[target.Name] || present[target.Name].Incarnation != target.Incarnation {
-				t.Fatalf("chose %+v of %v, without %v, left %v", target, present, not, left)
+			// A leaving target is chosen only if no other target remains.
+			if takers > 0 && left[target.Incarnation] || exclude[target.Name] || present[target.Name].Incarnation != target.Incarnation {
+				t.Fatalf("chose %+v of %v, without %v, left %v", target, present, exclude, left)
 			}
 			leaving := random.IntN(10) == 0
 			left[target.Incarnation] = left[target.Incarnation] || leaving
@@ -312,20 +314,20 @@
 
 func TestNewIncarnationStartsAfresh(t *testing.T) {
 	is := is.New(t)
-	f := newField(Settings{DataCentre: "a"}, targetsIn("a"))
+	sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a"))
 	for range 5 {
-		f.table.Ended(f.now, "a0", Report{Outcome: Unreachable})
+		sim.table.Ended(sim.now, "a0", Report{Outcome: Unreachable})
 	}
-	is.Equal(f.ejected(), []string{"a0"})
+	is.Equal(sim.ejected(), []string{"a0"})
 	targets := targetsIn("a")
 	targets[0].Incarnation = "new"
-	f.table.Update(f.now, targets)
-	is.Equal(len(f.ejected()), 0)
+	sim.table.Update(sim.now, targets)
+	is.Equal(len(sim.ejected()), 0)
 	for range 5 {
-		f.table.Ended(f.now, "a0", Report{Outcome: Unreachable, Incarnation: "a0x"})
+		sim.table.Ended(sim.now, "a0", Report{Outcome: Unreachable, Incarnation: "a0x"})
 	}
-	is.Equal(len(f.ejected()), 0) // the former one's failures do not count
-	target, ok := f.table.ChooseNamed(f.now, "new")
+	is.Equal(len(sim.ejected()), 0) // failures of the former incarnation do not count
+	target, ok := sim.table.ChooseIncarnation(sim.now, "new")
 	is.True(ok)
 	is.Equal(target.Name, "a0")
 }
--- a/internal/route/split_test.go
+++ b/internal/route/split_test.go
@@ -10,7 +10,8 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// Shares hold over a short stretch at each of many nodes, and all together.
+// The shares must hold over a short run of requests at each of many nodes, and over all nodes
+// together.
 func TestSplitsDealByWeight(t *testing.T) {
 	is := is.New(t)
 	kinds := []schema.Kind{{Name: "look_up", Split: []schema.Share{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}, {Service: "off", Weight: 0}}}}
