--- a/internal/fate/bench_test.go
+++ b/internal/fate/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
-// BenchmarkBook measures the time of an attempt in the book and the memory of
-// its record with an answer of 512 bytes.
+// BenchmarkBook measures the time to record an attempt, and the memory of the record with
+// an answer of 512 bytes.
 func BenchmarkBook(b *testing.B) {
 	for _, held := range []int{10_000, 50_000, 100_000, 200_000} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// BenchmarkBareRecords measures the memory of records without their answers.
+// BenchmarkBareRecords measures the memory of records whose answers have been dropped.
 func BenchmarkBareRecords(b *testing.B) {
 	for _, held := range []int{30_000, 50_000, 100_000, 150_000} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
--- a/internal/fate/classify.go
+++ b/internal/fate/classify.go
@@ -7,41 +7,43 @@
 )
 
 type (
-	// Facts are what the node beside the target knows of an attempt that ended.
+	// Facts describe an attempt that has ended, as observed by the node beside the target.
 	Facts struct {
 		// Sent is set when bytes of the request may have reached the target.
 		Sent bool
-		// Status is the target's HTTP status, 0 when none came.
+		// Status is the HTTP status of the target, or 0 when there was no response.
 		Status int
-		// ShedStatus is the declared status by which the target says that it
-		// did not run the call; 0 stands for 503.
+		// ShedStatus is the declared status with which the target reports that it shed
+		// the call without running it; 0 stands for 503.
 		ShedStatus int
-		// Marks is set where targets mark the calls that they did not run, and
-		// NotRun when this one is marked. The status tells nothing then.
-		Marks  bool
+		// Marks is set if targets mark the responses of calls that they did not run.
+		// Only the mark then decides whether the call was shed, not the status.
+		Marks bool
+		// NotRun is set if the response of this call has the mark.
 		NotRun bool
-		// Moved is set when another process than the one meant refused the call.
+		// Moved is set when the call reached a process other than the addressed one, which
+		// rejected it.
 		Moved bool
-		// Foreign is set when the answer is not that of the call.
+		// Foreign is set when the answer belongs to another call.
 		Foreign bool
-		// BodyWhole is set when the answer's body came to its declared end.
+		// BodyWhole is set when the body of the answer was received up to its declared end.
 		BodyWhole bool
-		// TooLarge is set when the answer is longer than the declared size.
+		// TooLarge is set when the answer exceeds the declared size limit.
 		TooLarge  bool
 		TimedOut  bool
 		Cancelled bool
-		// ChildrenRan is set when any of the target's own calls ran or may have.
+		// ChildrenRan is set when a call made by the target ran or may have run.
 		ChildrenRan bool
 	}
 
-	// Loss is what the sending node knows of an attempt whose answer is missing.
-	Loss struct {
+	// LostAnswer describes an attempt whose answer is missing, as observed by the sending node.
+	LostAnswer struct {
 		// Sent is set when bytes of the attempt may have reached the node.
 		Sent bool
-		// Asked is set when the node answered the question for the fate.
-		Asked bool
-		// OtherIncarnation is set when the answer came from another incarnation
-		// than the one that the attempt was addressed to.
+		// Queried is set when the receiving node answered a status query for the attempt.
+		Queried bool
+		// OtherIncarnation is set when the status query was answered by an incarnation
+		// other than the one that the attempt was addressed to.
 		OtherIncarnation bool
 		State            State
 		// Answer is the code of the recorded answer when State is Done.
@@ -51,9 +53,9 @@
 	}
 )
 
-// Code returns the code for an attempt that Begin didn't let run, and 0 for Fresh
-// and Done. An invalid id may become valid as the clock goes on, so that the
-// attempt cannot be said never to run.
+// Code returns the result code of an attempt that Begin rejected, and 0 for Fresh and Done.
+// Invalid has no code of the family NotRun, because an id from the future becomes valid as
+// the clock advances, and the attempt may run then.
 func (v Verdict) Code() result.Code {
 	switch v {
 	case Fresh, Done:
@@ -69,8 +71,8 @@
 	}
 }
 
-// Classify returns the result code of an attempt at the node beside the target.
-// A code of the family NotRun is returned only if the call ran nowhere.
+// Classify returns the result code of an attempt at the node beside the target. It returns
+// a code of the family NotRun only if neither the call nor any call made by the target ran.
 func Classify(f Facts) result.Code {
 	if !f.Sent && !f.ChildrenRan {
 		return notRun(f.TimedOut, f.Cancelled, result.Unreachable)
@@ -93,17 +95,18 @@
 	if f.Status < http.StatusOK || f.Status >= http.StatusInternalServerError {
 		return result.TargetFailed
 	}
-	// A whole answer that refuses, such as 404 or 409, is a true answer too.
+	// A complete answer with an error status below 500, such as 404 or 409, is a valid
+	// answer of the target.
 	return result.OK
 }
 
-// Resolve returns what the sending node concludes of an attempt whose answer
-// is missing.
-func Resolve(l Loss) result.Code {
+// Resolve returns the result code, at the sending node, of an attempt whose answer is
+// missing.
+func Resolve(l LostAnswer) result.Code {
 	if !l.Sent {
 		return notRun(l.TimedOut, l.Cancelled, result.Unreachable)
 	}
-	if !l.Asked || l.OtherIncarnation {
+	if !l.Queried || l.OtherIncarnation {
 		return mayHaveRun(l.TimedOut, l.Cancelled, result.Lost)
 	}
 	switch l.State {
--- a/internal/fate/example_test.go
+++ b/internal/fate/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/dandelionfield/dandelionfield/internal/fate"
 )
 
-// A sender asks for an attempt that has not arrived. It is refused from then on.
+// A sender queries an attempt that has not arrived. The attempt is rejected from then on.
 func ExampleBook_Ask() {
 	book := fate.New[string](fate.Settings{Keep: time.Minute, MaxBytes: 1 << 20})
 	now := time.UnixMilli(1_700_000_000_000)
--- a/internal/fate/fate.go
+++ b/internal/fate/fate.go
@@ -1,9 +1,9 @@
-// Package fate keeps the book of attempts that are addressed to one node, and
-// says what may be concluded of an attempt.
+// Package fate records the attempts that are addressed to one node, so that each of
+// them runs at most once, and determines the result code of an attempt.
 //
-// An attempt id is a UUIDv7. Its mint time bounds what has to be remembered:
-// an id older than Settings.Keep is never begun, so a record or a tombstone may
-// be dropped after Keep however long the network holds a message back.
+// An attempt id is a UUIDv7, and its mint time bounds what has to be remembered. An id
+// that is older than the retention period never begins, so its record or tombstone may
+// be dropped after that period, however long the network delays a message.
 package fate
 
 import (
@@ -14,60 +14,62 @@
 )
 
 type (
-	// Verdict is what the book says of an attempt. Only a Fresh one may run.
+	// Verdict is the recorded status of an attempt. Only a Fresh attempt may run.
 	Verdict uint8
 
-	// State is the verdict that Ask returns: NeverSeen, Running, Done,
+	// State is a verdict that answers a status query: NeverSeen, Running, Done,
 	// Dropped, Expired or Invalid.
 	State = Verdict
 
-	// Settings bound the book.
+	// Settings configure the retention, the memory bound and the clock tolerance.
 	Settings struct {
-		// Keep is how long ended attempts and tombstones are kept. It must
+		// Keep is the retention period of ended attempts and tombstones. It must
 		// exceed the longest declared deadline by twice Margin.
 		Keep time.Duration
-		// KeepAnswers is how long the answers of ended attempts are kept; 0 stands
-		// for Keep.
+		// KeepAnswers is the retention period of the answers of ended attempts. With
+		// 0, an answer is kept as long as its attempt.
 		KeepAnswers time.Duration
-		// MaxBytes bounds the memory of the whole book.
+		// MaxBytes bounds the memory of all records and answers.
 		MaxBytes int64
-		// Margin is how far the clocks of two hosts may differ; 0 stands for
-		// DefaultMargin.
+		// Margin is the largest difference between the clocks of two hosts; 0 stands
+		// for DefaultMargin.
 		Margin time.Duration
 	}
 
-	// Stats are the book's gauges and counters.
+	// Stats holds gauges and counters.
 	Stats struct {
 		Entries    int
 		Running    int
 		Tombstones int
 		Bytes      int64
-		// Refused counts the attempts that the memory bound refused.
+		// Refused counts the attempts that were rejected because of the memory bound.
 		Refused int64
-		// Dropped counts the answers that the memory bound dropped.
+		// Dropped counts the answers that were dropped because of the memory bound.
 		Dropped int64
 	}
 
-	// Book records attempts with answers of type A. It is not safe for
+	// Book records attempts and their answers of type A. It is not safe for
 	// concurrent use.
 	Book[A any] struct {
 		settings Settings
-		// entries holds the attempts that run or whose answer is kept, and bare the
-		// verdict alone of all others, by the second in which they were minted. A busy
-		// node has many more of the latter, so that they are small and hold no pointer
-		// for the garbage collector to follow.
-		entries map[uuid.UUID]*entry[A]
-		bare    map[int64]map[bareID]Verdict
+		// entries holds the attempts that are running or whose answer is kept.
+		// bareVerdicts holds the verdict alone of all other attempts, by the second of
+		// their mint time. A busy node has many more of these, so they are small and
+		// contain no pointers for the garbage collector to scan.
+		entries      map[uuid.UUID]*entry[A]
+		bareVerdicts map[int64]map[shortID]Verdict
 		// answered lists the ended attempts whose answer is kept, oldest first.
-		answered []endedID
-		// recordBytes is the cost of the attempts without their answers.
+		answered []answeredAttempt
+		// recordBytes is the memory charged for all attempts without their answers.
 		recordBytes int64
 		answerBytes int64
-		// refusedThroughMS is the newest mint time that was refused without
-		// leaving an entry. Nothing minted up to then is begun any more.
+		// refusedThroughMS is the newest mint time of an attempt that was rejected
+		// without a record. An unrecorded attempt that was minted up to this time
+		// never begins.
 		refusedThroughMS int64
-		// latest is the highest time seen, so that a clock that is set back
-		// brings no forgotten id back to life.
+		// latest is the highest time seen. It stands in for a clock that is set back,
+		// so that an id that has expired and been forgotten does not become valid
+		// again.
 		latest time.Time
 		stats  Stats
 	}
@@ -78,70 +80,71 @@
 		size    int64
 	}
 
-	// bareID is the random part of an attempt's id. Should two of one second share
-	// it, which is less likely than one in 2^30 with 100,000 of them, the later one is
-	// not begun.
-	bareID uint64
+	// shortID is the random part of an attempt id. If two attempts of the same second
+	// share it, the later one does not begin. With 100,000 attempts in that second,
+	// the probability is below 1 in 2^30.
+	shortID uint64
 
-	endedID struct {
+	answeredAttempt struct {
 		id uuid.UUID
-		// atMS is when the attempt ended, in Unix milliseconds.
-		atMS int64
+		// endedMS is when the attempt ended, in Unix milliseconds.
+		endedMS int64
 	}
 )
 
-// The verdicts.
+// These are the verdicts on an attempt.
 const (
 	// Fresh means that the attempt is recorded as running and may run now.
 	Fresh Verdict = iota
 	// Running means that the attempt has begun and has not ended.
 	Running
-	// Done means that the attempt ended with the answer that comes along.
+	// Done means that the attempt has ended; its answer is returned with the verdict.
 	Done
-	// Dropped means that the attempt ended and its answer was dropped to stay
-	// inside the memory bound; its result is unknown.
+	// Dropped means that the attempt has ended but its answer is no longer kept, because
+	// of the memory bound or the retention period of answers. Its result is unknown.
 	Dropped
-	// Tombstoned means that the attempt was said to be never seen. It must not
-	// run.
+	// Tombstoned means that an earlier status query was answered with NeverSeen. The
+	// attempt must not run.
 	Tombstoned
-	// Full means that the memory bound refuses the attempt. It has not run and
-	// never will.
+	// Full means that the attempt is rejected because of the memory bound. It has not
+	// run and never will.
 	Full
 	// NeverSeen means that the attempt has not run and never will.
 	NeverSeen
-	// Expired means that the id is older than Keep, so that the book may have
-	// forgotten the attempt. It must not run.
+	// Expired means that the id is older than the retention period, so that the record of
+	// the attempt may have been dropped. The attempt must not run.
 	Expired
-	// Invalid means that the id is no UUIDv7, or minted in the future by more
-	// than the margin. It must not run.
+	// Invalid means that the id is not a UUIDv7, or that its mint time is in the future by
+	// more than the clock margin. The attempt must not run.
 	Invalid
 )
 
 const (
-	// DefaultMargin is the clock margin where none is set.
+	// DefaultMargin is the clock margin used when none is set.
 	DefaultMargin = time.Second
-	// entryBytes is the memory of one entry: id, map cell, struct, list cell.
+	// entryBytes is the memory charged for one entry: id, map cell, struct and list cell.
 	entryBytes = 256
-	// bareBytes is the memory of a verdict alone.
-	bareBytes = 48
-	// compactAt is the length of the dropped head of a list that is worth a copy.
+	// verdictBytes is the memory charged for a verdict without an entry.
+	verdictBytes = 48
+	// compactAt is the number of removed list elements above which the rest of the list is
+	// copied, so that the memory of the removed elements can be freed.
 	compactAt = 1024
 )
 
-// New returns an empty book.
+// New returns an empty set of attempt records.
 func New[A any](s Settings) *Book[A] {
 	if s.Margin == 0 {
 		s.Margin = DefaultMargin
 	}
-	return &Book[A]{settings: s, entries: map[uuid.UUID]*entry[A]{}, bare: map[int64]map[bareID]Verdict{}}
+	return &Book[A]{settings: s, entries: map[uuid.UUID]*entry[A]{}, bareVerdicts: map[int64]map[shortID]Verdict{}}
 }
 
-// Begin records a fresh attempt as running. The answer is set for Done only.
+// Begin records a fresh attempt as running. The returned answer is set for Done only.
 func (b *Book[A]) Begin(now time.Time, attempt string) (Verdict, A) {
 	var none A
 	now = b.advance(now)
 	id, minted, ok := b.parse(now, attempt)
-	if verdict, answer, known := b.known(id); known {
+	if verdict, answer, recorded := b.recorded(id); recorded {
 		return verdict, answer
 	}
 	if !ok {
@@ -165,8 +168,8 @@
 	return Fresh, none
 }
 
-// End records the answer, of size bytes, of an attempt that was running. A
-// second end of the same attempt changes nothing.
+// End records the answer, of the given size in bytes, of a running attempt. A second call
+// for the same attempt has no effect.
 func (b *Book[A]) End(now time.Time, attempt string, answer A, size int) {
 	now = b.advance(now)
 	id, _, _ := b.parse(now, attempt)
@@ -176,23 +179,23 @@
 	}
 	b.stats.Running--
 	if !b.makeRoom(int64(size)) {
-		b.strip(id)
+		b.reduceToVerdict(id)
 		return
 	}
-	b.answered = append(b.answered, endedID{id, now.UnixMilli()})
+	b.answered = append(b.answered, answeredAttempt{id, now.UnixMilli()})
 	e.verdict = Done
 	e.answer = answer
 	e.size = int64(size)
 	b.answerBytes += e.size
 }
 
-// Ask says what became of an attempt. NeverSeen makes sure that the attempt is
-// refused if it arrives later.
+// Ask returns the status of an attempt. When it returns NeverSeen, the attempt is
+// rejected if it arrives later.
 func (b *Book[A]) Ask(now time.Time, attempt string) (State, A) {
 	var none A
 	now = b.advance(now)
 	id, minted, ok := b.parse(now, attempt)
-	if verdict, answer, known := b.known(id); known {
+	if verdict, answer, recorded := b.recorded(id); recorded {
 		if verdict == Tombstoned {
 			verdict = NeverSeen
 		}
@@ -207,17 +210,16 @@
 	if minted.UnixMilli() <= b.refusedThroughMS {
 		return NeverSeen, none
 	}
-	if !b.makeRoom(bareBytes) {
+	if !b.makeRoom(verdictBytes) {
 		b.refuseThrough(minted)
 		return NeverSeen, none
 	}
-	b.keepBare(id, Tombstoned)
+	b.recordVerdict(id, Tombstoned)
 	b.stats.Tombstones++
 	return NeverSeen, none
 }
 
-// Forget drops the answers that are past KeepAnswers, and the attempts and
-// tombstones that are past Keep.
+// Forget drops answers, attempts and tombstones that are past their retention periods.
 func (b *Book[A]) Forget(now time.Time) {
 	now = b.advance(now)
 	if keep := b.settings.KeepAnswers; keep > 0 {
@@ -232,28 +234,28 @@
 	}
 	b.answered = b.answered[past:]
 	if past > compactAt {
-		b.answered = append([]endedID(nil), b.answered...)
+		b.answered = append([]answeredAttempt(nil), b.answered...)
 	}
-	for second, verdicts := range b.bare {
+	for second, verdicts := range b.bareVerdicts {
 		if b.expired(now, time.Unix(second+1, 0)) {
-			b.removeBare(second, verdicts)
+			b.removeVerdicts(second, verdicts)
 		}
 	}
 }
 
-func (e endedID) past(now time.Time, keep time.Duration) bool {
-	return now.UnixMilli()-e.atMS > keep.Milliseconds()
+func (e answeredAttempt) past(now time.Time, keep time.Duration) bool {
+	return now.UnixMilli()-e.endedMS > keep.Milliseconds()
 }
 
-// Stats returns the book's gauges and counters.
+// Stats returns the current gauges and counters.
 func (b *Book[A]) Stats() Stats {
 	stats := b.stats
-	stats.Entries = len(b.entries) + b.bareCount()
+	stats.Entries = len(b.entries) + b.verdictCount()
 	stats.Bytes = b.recordBytes + b.answerBytes
 	return stats
 }
 
-// MaxBytes returns the bound on the memory of the book.
+// MaxBytes returns the memory bound.
 func (b *Book[A]) MaxBytes() int64 {
 	return b.settings.MaxBytes
 }
@@ -265,29 +267,29 @@
 	return b.latest
 }
 
-// known returns what is recorded of an attempt.
-func (b *Book[A]) known(id uuid.UUID) (Verdict, A, bool) {
+// recorded returns the recorded verdict and answer of an attempt, and whether there are any.
+func (b *Book[A]) recorded(id uuid.UUID) (Verdict, A, bool) {
 	var none A
 	if e, ok := b.entries[id]; ok {
 		return e.verdict, e.answer, true
 	}
-	verdict, ok := b.bare[mintSecond(id)][bare(id)]
+	verdict, ok := b.bareVerdicts[mintSecond(id)][shorten(id)]
 	return verdict, none, ok
 }
 
-// keepBare records a verdict without an answer.
-func (b *Book[A]) keepBare(id uuid.UUID, verdict Verdict) {
+// recordVerdict records a verdict without an entry.
+func (b *Book[A]) recordVerdict(id uuid.UUID, verdict Verdict) {
 	second := mintSecond(id)
-	if b.bare[second] == nil {
-		b.bare[second] = map[bareID]Verdict{}
+	if b.bareVerdicts[second] == nil {
+		b.bareVerdicts[second] = map[shortID]Verdict{}
 	}
-	b.bare[second][bare(id)] = verdict
-	b.recordBytes += bareBytes
+	b.bareVerdicts[second][shorten(id)] = verdict
+	b.recordBytes += verdictBytes
 }
 
-func (b *Book[A]) bareCount() int {
+func (b *Book[A]) verdictCount() int {
 	count := 0
-	for _, verdicts := range b.bare {
+	for _, verdicts := range b.bareVerdicts {
 		count += len(verdicts)
 	}
 	return count
@@ -298,12 +300,12 @@
 	return second
 }
 
-func bare(id uuid.UUID) bareID {
-	return bareID(binary.BigEndian.Uint64(id[8:]))
+func shorten(id uuid.UUID) shortID {
+	return shortID(binary.BigEndian.Uint64(id[8:]))
 }
 
-// parse returns an id and the time inside it, and false for an id that the book
-// cannot judge by its time.
+// parse returns an attempt id and its mint time. It returns false if the id is not a
+// canonical UUIDv7, or if its mint time is in the future by more than the margin.
 func (b *Book[A]) parse(now time.Time, attempt string) (uuid.UUID, time.Time, bool) {
 	id, err := uuid.Parse(attempt)
 	if err != nil || id.Version() != 7 || !canonical(id, attempt) {
@@ -313,32 +315,34 @@
 	return id, minted, !minted.After(now.Add(b.settings.Margin))
 }
 
-// canonical says whether an id was written in its usual form.
+// canonical reports whether text is the canonical form of the id.
 func canonical(id uuid.UUID, text string) bool {
 	return id.String() == text
 }
 
-// expired says whether the book may have forgotten an attempt with this mint
-// time. Its end was recorded at the earliest Margin before the mint time, as
-// the two clocks differ, and is kept for Keep from then on.
+// expired reports whether the record of an attempt with this mint time may have been
+// dropped. The clocks of two hosts differ by up to the margin, so the end of the attempt was
+// recorded one margin before its mint time at the earliest, and is kept for the retention
+// period from then on.
 //
-// With Keep 60 s and Margin 1 s: minted at 100 by a clock that is 1 s ahead,
-// ended here at 99, forgotten after 159. From 159 on the id is expired.
+// For example, with a retention period of 60 s and a margin of 1 s, an attempt is minted at
+// 100 s by a clock that is 1 s ahead, and ends at 99 s by the local clock. Its record may be
+// dropped after 159 s, so the id expires at 159 s.
 func (b *Book[A]) expired(now, minted time.Time) bool {
 	return now.Sub(minted) >= b.settings.Keep-b.settings.Margin
 }
 
-// refuseThrough stands in for an entry that does not fit: it refuses every
-// unrecorded attempt minted up to the given time. That refuses more than the
-// one attempt, but only while the book is full anyway.
+// refuseThrough replaces a record for which there is no memory: from now on, every
+// unrecorded attempt minted up to the given time is rejected. This also rejects other attempts,
+// but only attempts minted up to a time at which the memory is full anyway.
 func (b *Book[A]) refuseThrough(minted time.Time) {
 	b.refusedThroughMS = max(b.refusedThroughMS, minted.UnixMilli())
 }
 
-// makeRoom drops the oldest answers until need more bytes fit, and says
-// whether they do.
+// makeRoom drops the oldest answers until need more bytes fit into the memory bound, and
+// reports whether they fit.
 func (b *Book[A]) makeRoom(need int64) bool {
-	stripped := b.recordBytes - int64(len(b.answered))*(entryBytes-bareBytes)
+	stripped := b.recordBytes - int64(len(b.answered))*(entryBytes-verdictBytes)
 	if stripped+need > b.settings.MaxBytes {
 		return false
 	}
@@ -352,14 +356,14 @@
 	oldest := b.answered[0]
 	b.answered = b.answered[1:]
 	b.answerBytes -= b.entries[oldest.id].size
-	b.strip(oldest.id)
+	b.reduceToVerdict(oldest.id)
 }
 
-// strip leaves nothing of an ended attempt but that it has been.
-func (b *Book[A]) strip(id uuid.UUID) {
+// reduceToVerdict replaces the entry of an ended attempt by the verdict Dropped.
+func (b *Book[A]) reduceToVerdict(id uuid.UUID) {
 	delete(b.entries, id)
 	b.recordBytes -= entryBytes
-	b.keepBare(id, Dropped)
+	b.recordVerdict(id, Dropped)
 	b.stats.Dropped++
 }
 
@@ -369,13 +373,13 @@
 	delete(b.entries, id)
 }
 
-// removeBare forgets the verdicts of one second, whose attempts have all expired.
-func (b *Book[A]) removeBare(second int64, verdicts map[bareID]Verdict) {
+// removeVerdicts drops the verdicts of one second, whose attempts have all expired.
+func (b *Book[A]) removeVerdicts(second int64, verdicts map[shortID]Verdict) {
 	for _, verdict := range verdicts {
 		if verdict == Tombstoned {
 			b.stats.Tombstones--
 		}
 	}
-	b.recordBytes -= bareBytes * int64(len(verdicts))
-	delete(b.bare, second)
+	b.recordBytes -= verdictBytes * int64(len(verdicts))
+	delete(b.bareVerdicts, second)
 }
--- a/internal/fate/fate_test.go
+++ b/internal/fate/fate_test.go
@@ -17,7 +17,7 @@
 
 var testSettings = Settings{Keep: 10 * time.Second, MaxBytes: 6 * entryBytes, Margin: time.Second}
 
-// attemptID returns the id with the given mint time and number.
+// attemptID returns an id with the given mint time, and random bits derived from the number.
 func attemptID(mintedMS int64, number int) string {
 	id := uuid.NewSHA1(uuid.Nil, fmt.Append(nil, number))
 	for i := range 6 {
@@ -31,8 +31,9 @@
 
 func id(ms int64, number int) string { return attemptID(startMS+ms, number) }
 
-// Whatever is delivered late, twice or out of order, an attempt runs at most
-// once, never after it was said not to have run, and has its own answer.
+// TestBookKeepsItsWord checks random sequences of operations, with late, duplicate and
+// reordered deliveries and a clock that jumps. Every attempt runs at most once, does not run
+// if it was ever reported as not run, and gets its own answer.
 func TestBookKeepsItsWord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New[string](testSettings)
@@ -52,17 +53,17 @@
 				t.Fatalf("attempt %s got %q", attempt, answer)
 			}
 			if verdict == Running && ended[attempt] {
-				t.Fatalf("attempt %s ended and is said to run", attempt)
+				t.Fatalf("attempt %s has ended but is reported as running", attempt)
 			}
 			if ran[attempt] > 1 || ran[attempt] == 1 && notRun[attempt] {
-				t.Fatalf("attempt %s ran %d times, said not to have run: %t", attempt, ran[attempt], notRun[attempt])
+				t.Fatalf("attempt %s ran %d times, reported as not run: %t", attempt, ran[attempt], notRun[attempt])
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
 				is.New(t).True(b.Stats().Bytes <= testSettings.MaxBytes)
 			},
-			// A clock that is set back must not bring an id back to life.
+			// A clock that is set back must not make a forgotten id valid again.
 			"wait": func(t *rapid.T) { nowMS += rapid.Int64Range(-8000, 12000).Draw(t, "ms") },
 			"begin": func(t *rapid.T) {
 				attempt := pick(t)
@@ -130,7 +131,7 @@
 	})
 }
 
-// Each line of the tables is a set of facts and the code that follows.
+// TestTables checks the result code for each set of facts in the data files.
 func TestTables(t *testing.T) {
 	states := map[string]State{
 		"running": Running, "done": Done, "dropped": Dropped,
@@ -146,11 +147,11 @@
 				d.MaybeScanArgs(t, "shed", &f.ShedStatus)
 				return fmt.Sprintln(Classify(f))
 			}
-			l := Loss{Sent: has("sent"), OtherIncarnation: has("other"), Answer: result.TargetFailed}
+			l := LostAnswer{Sent: has("sent"), OtherIncarnation: has("other"), Answer: result.TargetFailed}
 			l.TimedOut, l.Cancelled = has("timed_out"), has("cancelled")
 			for name, state := range states {
 				if has(name) {
-					l.Asked, l.State = true, state
+					l.Queried, l.State = true, state
 				}
 			}
 			return fmt.Sprintln(Resolve(l))
@@ -158,8 +159,9 @@
 	})
 }
 
-// A code of the family NotRun needs proof: nothing was sent, or the target shed
-// the call, and none of its own calls ran.
+// TestNotRunNeedsProof checks that Classify returns a code of the family NotRun only if
+// nothing was sent or the target shed the call, and none of the calls made by the target
+// ran. A caller retries after such a code, so a wrong one would run the call twice.
 func TestNotRunNeedsProof(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
