--- a/internal/once/example_test.go
+++ b/internal/once/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/dandelionfield/dandelionfield/internal/once"
 )
 
-// A node claims the slots of a new service, runs a key once and replays its
-// answer.
+// A node claims the slots of a new service, runs a key once, and replays the recorded answer
+// to a repeated request.
 func ExampleLedger() {
 	now := time.UnixMilli(1_700_000_000_000)
 	self := once.Node{Name: "orders-1", Incarnation: "7f", Address: "127.0.0.1:7000", StartedMS: now.UnixMilli()}
@@ -16,7 +16,7 @@
 	ledger := once.NewLedger[string](self, rules, 1<<20)
 	next, changed := once.Next(now, once.Plan{Service: "orders"}, self, nil, rules)
 	if changed && ledger.Promise(now, next) {
-		ledger.Learn(next) // after the table took the write
+		ledger.Learn(next) // after the write to the table has succeeded
 	}
 
 	key := once.Mint(now)
--- a/internal/once/handover.go
+++ b/internal/once/handover.go
@@ -2,13 +2,13 @@
 
 import "github.com/google/uuid"
 
-// Export closes the ledger and returns its records for a handover. Fresh keys
-// are refused from then on, while repeats are still answered. A key that is
-// still running is exported as unknown.
+// Export closes the ledger and returns its records for a handover. From then on, the ledger
+// rejects fresh keys but still answers repeated ones. A key that is still running is exported
+// with an unknown outcome.
 func (l *Ledger[A]) Export() []Record[A] {
 	l.closed = true
 	records := make([]Record[A], 0, l.records)
-	for _, m := range l.minutes {
+	for _, m := range l.buckets {
 		for id, r := range m.records {
 			records = append(records, Record[A]{
 				Key:         keyOf(id),
@@ -23,10 +23,9 @@
 	return records
 }
 
-// Import takes in records of the ledger of another incarnation. It returns
-// false when this ledger is itself closed, or is the one that the records come
-// from. The keys that from never saw may run here once a plan names this
-// incarnation as the keeper of its records.
+// Import adds records that the incarnation from exported. It returns false if this ledger is
+// closed, or belongs to from itself. Keys that from never received may run here once a plan
+// names this incarnation as the holder of the records of from.
 func (l *Ledger[A]) Import(from string, records []Record[A]) bool {
 	if l.closed || from == l.self.Incarnation {
 		return false
@@ -43,8 +42,8 @@
 		return
 	}
 	if r := l.find(id, imported.Key); r == nil {
-		// The record goes in above the bound too: without it the key could
-		// run again.
+		// The record is added even if it exceeds the memory bound, because the key
+		// could run again without it.
 		l.insert(id, imported.Key, &record[A]{
 			state:       unknown,
 			kind:        imported.Kind,
--- a/internal/once/ledger.go
+++ b/internal/once/ledger.go
@@ -10,158 +10,160 @@
 )
 
 type (
-	// Verdict is what the ledger says of a key.
+	// Verdict is the decision of a ledger on a key.
 	Verdict uint8
 
-	// Record is one key's record on its way to another ledger.
+	// Record is the exported record of one key.
 	Record[A any] struct {
 		Key         Key
 		Kind        string
 		RequestHash uint64
 		// Unknown is set when the key ran or may have run and its answer is not
-		// at hand.
+		// available.
 		Unknown bool
 		Answer  A
 		// Size is the memory of the answer in bytes.
 		Size int
 	}
 
-	// Stats are the ledger's gauges and counters.
+	// Stats holds the gauges and counters of a ledger.
 	Stats struct {
 		Records int
 		Bytes   int64
-		// Refused counts the keys that the memory bound refused.
+		// Refused counts the keys that were rejected because of the memory bound.
 		Refused int64
-		// Dropped counts the answers that the memory bound dropped.
+		// Dropped counts the answers that were dropped because of the memory bound.
 		Dropped int64
 	}
 
-	// Ledger decides the keys that reach one node incarnation, and records what
-	// became of them. It is not safe for concurrent use.
+	// Ledger decides whether the keys that reach one node incarnation may run, and
+	// records their outcomes. It is not safe for concurrent use.
 	Ledger[A any] struct {
 		self     Node
 		rules    Rules
 		maxBytes int64
 		plan     Plan
-		// minutes holds the records by the minute of their mint time, so that
-		// old ones are dropped without a search.
-		minutes     map[int64]*minute[A]
+		// buckets holds the records by the minute of their mint time, so that old
+		// records can be dropped without a search.
+		buckets     map[int64]*bucket[A]
 		records     int
 		answerBytes int64
-		promises    []promise
-		// leaveMS is the mint time from which nothing is accepted because the
-		// node is leaving; 0 when it isn't.
+		slotStates  []slotState
+		// leaveMS is the mint time from which no key is accepted because the node is
+		// leaving, or 0 if the node is not leaving.
 		leaveMS int64
-		// closed is set by Export: no fresh key is accepted from then on.
+		// closed is set by Export. A closed ledger accepts no fresh keys.
 		closed bool
-		// forgottenMS is the mint time below which records may have been dropped
+		// forgottenMS is the mint time before which records may have been dropped
 		// under an earlier, shorter key age.
 		forgottenMS int64
-		// latest is the highest time seen, so that a clock that is set back
-		// brings no forgotten key back to life.
+		// latest is the highest time seen. It stands in for a clock that is set back,
+		// so that a key whose record has been dropped is not accepted again.
 		latest time.Time
 		stats  Stats
 	}
 
-	// promise is what the ledger has to remember of one slot.
-	promise struct {
-		// highestMS is the newest mint time that was accepted.
+	// slotState is the state that a ledger keeps for one slot.
+	slotState struct {
+		// highestMS is the newest mint time of an accepted key.
 		highestMS int64
-		// cutMS is the mint time from which nothing is accepted because a plan
-		// that cuts the holding may have been written; 0 when there is none.
+		// cutMS is the mint time from which no key is accepted, because a plan that
+		// ends the holding at that time may have been written. It is 0 if there is
+		// no such plan.
 		cutMS int64
 	}
 )
 
-// The verdicts.
+// These are the verdicts on a key.
 const (
-	// Run means that the key is recorded as running and the caller runs it now.
+	// Run means that the key is now recorded as running, and the caller must run it.
 	Run Verdict = iota
 	// Running means that an earlier request with the key has not ended.
 	Running
-	// Done means that the key ran and its answer comes along.
+	// Done means that the key has run; its answer is returned with the verdict.
 	Done
-	// Refuse means that the key does not run now, for the reason in the code.
+	// Refuse means that the key must not run now, for the reason given by the code.
 	Refuse
 )
 
-// NewLedger returns an empty ledger whose records take up to maxBytes.
+// NewLedger returns a ledger without records. maxBytes bounds the memory of its records.
 func NewLedger[A any](self Node, rules Rules, maxBytes int64) *Ledger[A] {
 	return &Ledger[A]{
 		self:     self,
 		rules:    rules,
 		maxBytes: maxBytes,
-		minutes:  make(map[int64]*minute[A]),
+		buckets:  make(map[int64]*bucket[A]),
 	}
 }
 
-// Learn takes in a plan that was committed. Older ones change nothing. A newer one
-// ends the promised cuts: they were made for a plan that was to replace the one
-// known so far, so either the newer one has them or that write can never take
-// effect.
+// Learn puts a committed plan in force if it is newer than the known plan, and then clears all
+// promised cuts. The cuts were promised for a plan that was to replace the known one, so either
+// the newer plan contains them or the write of the promised plan can no longer take effect.
 func (l *Ledger[A]) Learn(p Plan) {
 	if p.Version <= l.plan.Version {
 		return
 	}
 	l.plan = p.clone()
-	l.fitPromises(len(p.Slots))
-	for i := range l.promises {
-		l.promises[i].cutMS = 0
+	l.growSlotStates(len(p.Slots))
+	for i := range l.slotStates {
+		l.slotStates[i].cutMS = 0
 	}
 }
 
-// Promise makes the ledger honour the cuts that next makes in its holdings,
-// whether or not the write of next is known to have taken effect. It returns
-// false when next must not be written: because it was not made from the plan that
-// was learned last, takes away a mint time that was accepted, or hands over the
-// records of a ledger that isn't closed.
+// Promise makes the ledger honour the cuts of next, that is, the holdings of this incarnation
+// that next ends earlier or removes. The cuts apply whether or not the write of next is known
+// to have taken effect. Promise returns false if next must not be written, because next is
+// not derived from the known plan, removes the mint time of an accepted key from this
+// incarnation, or hands over the records of a ledger that is not closed.
 func (l *Ledger[A]) Promise(now time.Time, next Plan) bool {
 	now = l.advance(now)
 	if next.Version != l.plan.Version+1 || len(next.Slots) < len(l.plan.Slots) {
 		return false
 	}
-	l.fitPromises(len(next.Slots))
+	l.growSlotStates(len(next.Slots))
 	cuts := make([]int64, len(next.Slots))
 	for i, slot := range l.plan.Slots {
 		cut, ok := l.cut(now, slot, next.Slots[i])
-		if !ok || cut != 0 && cut <= l.promises[i].highestMS {
+		if !ok || cut != 0 && cut <= l.slotStates[i].highestMS {
 			return false
 		}
 		cuts[i] = cut
 	}
 	for i, cut := range cuts {
 		if cut != 0 {
-			l.promises[i].cutMS = lowest(l.promises[i].cutMS, cut)
+			l.slotStates[i].cutMS = earliest(l.slotStates[i].cutMS, cut)
 		}
 	}
 	return true
 }
 
-// Leave promises to accept nothing that is minted from now on, but for the
-// clock margin. The plan that Next makes for a leaving node can then be
-// written at any time.
+// Leave makes the ledger reject all keys that are minted later than one clock margin from
+// now, or later than the newest accepted key if that is later still. The plan that Next
+// returns for a leaving node can then be written at any time.
 func (l *Ledger[A]) Leave(now time.Time) {
 	now = l.advance(now)
 	leaveMS := now.Add(l.rules.Margin).UnixMilli() + 1
-	for _, p := range l.promises {
+	for _, p := range l.slotStates {
 		leaveMS = max(leaveMS, p.highestMS+1)
 	}
-	l.leaveMS = lowest(l.leaveMS, leaveMS)
+	l.leaveMS = earliest(l.leaveMS, leaveMS)
 }
 
-// SetKeyAge changes how long keys are accepted. After a longer age is declared,
-// keys that were too old before stay refused: their records may be gone.
+// SetKeyAge changes how long after their mint time keys are accepted. Keys that were too old
+// under a shorter key age stay rejected under a longer one, because their records may have
+// been dropped.
 func (l *Ledger[A]) SetKeyAge(now time.Time, age time.Duration) {
 	now = l.advance(now)
 	l.forgottenMS = max(l.forgottenMS, now.Add(-l.rules.KeyAge).UnixMilli())
 	l.rules.KeyAge = age
 }
 
-// Accept decides a key that reached this node. The answer is set for Done only.
+// Accept decides whether a key that reached this node may run. The returned answer is set for
+// Done only.
 //
-// Codes of the family NotRun hold for the key, not only for this request: they
-// are returned only where this ledger is the one that would know of a run, or
-// where no ledger can have run the key.
+// A code of the family NotRun applies to the key, not only to this request. It is returned
+// only if this ledger would have the record of any run of the key, or if no ledger can have
+// let the key run.
 func (l *Ledger[A]) Accept(now time.Time, k Key, kind string, requestHash uint64) (Verdict, A, result.Code) {
 	var none A
 	now = l.advance(now)
@@ -172,7 +174,7 @@
 	if r := l.find(id, k); r != nil {
 		return r.decide(kind, requestHash)
 	}
-	if code := l.refusal(now, k); code != 0 {
+	if code := l.rejection(now, k); code != 0 {
 		return Refuse, none, code
 	}
 	if !l.makeRoom(recordBytes) {
@@ -181,28 +183,29 @@
 	}
 	l.insert(id, k, &record[A]{kind: kind, requestHash: requestHash})
 	slot := l.plan.slotOf(k)
-	l.promises[slot].highestMS = max(l.promises[slot].highestMS, k.Minted.UnixMilli())
+	l.slotStates[slot].highestMS = max(l.slotStates[slot].highestMS, k.Minted.UnixMilli())
 	return Run, none, 0
 }
 
-// refusal returns why a key without a record doesn't run here, or 0.
-func (l *Ledger[A]) refusal(now time.Time, k Key) result.Code {
+// rejection returns the code with which a key without a record is rejected, or 0 if the key may
+// run here.
+func (l *Ledger[A]) rejection(now time.Time, k Key) result.Code {
 	if k.Minted.After(now.Add(2 * l.rules.Margin)) {
-		// Too far ahead for any owner, whose clock may be a margin ahead.
+		// No owner accepts the key, even one whose clock is a margin ahead.
 		return result.KeyFromFuture
 	}
 	if now.Sub(k.Minted) > l.rules.KeyAge || k.Minted.UnixMilli() < l.forgottenMS {
 		return result.Forgotten
 	}
 	holding, ok := l.plan.Find(k)
-	if !ok && l.plan.passedBy(k) {
+	if !ok && l.plan.neverCovered(k) {
 		return result.KeyTooOld
 	}
 	if !ok || holding.Keeper() != l.self.Incarnation || l.closed {
 		return result.OwnerGone
 	}
-	if limitMS := lowest(l.leaveMS, l.promises[l.plan.slotOf(k)].cutMS); limitMS != 0 && k.Minted.UnixMilli() >= limitMS {
-		// A successor may have the key already.
+	if limitMS := earliest(l.leaveMS, l.slotStates[l.plan.slotOf(k)].cutMS); limitMS != 0 && k.Minted.UnixMilli() >= limitMS {
+		// The key may already belong to a successor.
 		return result.OwnerGone
 	}
 	if k.Minted.After(now.Add(l.rules.Margin)) {
@@ -211,9 +214,9 @@
 	return 0
 }
 
-// cut compares the slot as known with the slot in the next plan. It returns the
-// mint time from which this ledger loses keys, 0 when it loses none, and false
-// when its records would go to another keeper before it is closed.
+// cut compares a slot of the known plan with the same slot of the next plan. It returns the
+// mint time from which this ledger loses keys, or 0 if it loses none. It returns false if
+// the next plan hands its records to another incarnation before the ledger is closed.
 func (l *Ledger[A]) cut(now time.Time, known, next Slot) (int64, bool) {
 	oldestMS := now.Add(-l.rules.KeyAge - 2*l.rules.Margin).UnixMilli()
 	cut := int64(0)
@@ -223,7 +226,7 @@
 		}
 		i := slices.IndexFunc(next.Holdings, func(n Holding) bool { return n.FromMS == h.FromMS })
 		if i < 0 {
-			cut = lowest(cut, h.FromMS)
+			cut = earliest(cut, h.FromMS)
 			continue
 		}
 		if next.Holdings[i].Keeper() != l.self.Incarnation {
@@ -233,7 +236,7 @@
 			continue
 		}
 		if next.Holdings[i].UntilMS < h.UntilMS {
-			cut = lowest(cut, next.Holdings[i].UntilMS)
+			cut = earliest(cut, next.Holdings[i].UntilMS)
 		}
 	}
 	return cut, true
@@ -246,14 +249,14 @@
 	return l.latest
 }
 
-func (l *Ledger[A]) fitPromises(slots int) {
-	for len(l.promises) < slots {
-		l.promises = append(l.promises, promise{})
+func (l *Ledger[A]) growSlotStates(slots int) {
+	for len(l.slotStates) < slots {
+		l.slotStates = append(l.slotStates, slotState{})
 	}
 }
 
-// lowest returns the lower of two times of which 0 stands for none.
-func lowest(a, b int64) int64 {
+// earliest returns the earlier of two times, where 0 means that there is none.
+func earliest(a, b int64) int64 {
 	if a == 0 || b == 0 {
 		return max(a, b)
 	}
--- a/internal/once/model_test.go
+++ b/internal/once/model_test.go
@@ -15,10 +15,11 @@
 )
 
 type (
-	// fault switches off one mechanism of the model.
+	// fault selects a safety mechanism that is disabled in the model.
 	fault uint8
 
-	// event is one step of a trace; its numbers are taken modulo what they index.
+	// event is one step of a trace. Its numbers are indices, taken modulo the number of
+	// choices.
 	event struct{ Op, Proc, Pick, Arg int }
 
 	proc struct {
@@ -28,45 +29,46 @@
 		skewMS  int64
 		frozen  bool
 		running []Key
-		// taken is the node whose records the process has imported last.
-		taken Node
+		// importedFrom is the node whose records the process imported last.
+		importedFrom Node
 	}
 
-	// model runs ledgers on hosts that freeze, crash and are replaced, above a
-	// table whose writes are lost, delayed and answered in vain.
+	// model runs ledgers on hosts that freeze, crash and are replaced. Writes to the table
+	// of plans can be lost or delayed, and their responses can be lost.
 	model struct {
 		fault   fault
 		nowMS   int64
 		started int
-		// hosts holds the process at each address, nil after a crash.
+		// hosts holds the process at each address, or nil after a crash.
 		hosts []*proc
 		// names holds the name and address of each host.
 		names []string
-		// strays are processes whose host was given up while they were alive.
-		strays  []*proc
+		// orphans are processes that still run on hosts that have been replaced.
+		orphans []*proc
 		table   Plan
 		delayed []Plan
 		keys    []Key
 		ran     map[string]int
-		// never holds the keys that were said to be too old for any owner.
-		never map[string]bool
-		// naive is the memory of a version that records keys where they arrive.
-		naive        map[string]bool
-		naiveRan     map[string]int
-		naiveDoubles int
-		// seen counts the verdicts and what else the trace came to.
-		seen map[string]int
-		err  error
+		// tooOld holds the keys that were rejected as too old for any owner.
+		tooOld map[string]bool
+		// naive holds the records of an implementation that records each key at the
+		// node where it arrives.
+		naive           map[string]bool
+		naiveRan        map[string]int
+		naiveDuplicates int
+		// caseCounts counts the verdicts and handovers of the trace.
+		caseCounts map[string]int
+		err        error
 	}
 )
 
 const (
 	noFault fault = iota
 	ignorePromise
-	believeLease
+	ignoreLeaseEnd
 	takeoverWithoutMargin
 	handOverOpen
-	handOverNothing
+	handOverNoRecords
 )
 
 var testRules = Rules{Slots: 4, Lease: 10 * time.Second, Margin: 200 * time.Millisecond, KeyAge: 40 * time.Second}
@@ -74,8 +76,8 @@
 func newModel(f fault) *model {
 	m := &model{
 		fault: f, nowMS: 1_700_000_000_000, names: []string{"a", "b", "c"}, hosts: make([]*proc, 3),
-		ran: map[string]int{}, never: map[string]bool{},
-		naive: map[string]bool{}, naiveRan: map[string]int{}, seen: map[string]int{},
+		ran: map[string]int{}, tooOld: map[string]bool{},
+		naive: map[string]bool{}, naiveRan: map[string]int{}, caseCounts: map[string]int{},
 	}
 	for i := range m.hosts {
 		m.start(i, i*50)
@@ -83,7 +85,8 @@
 	return m
 }
 
-// skew is how far a clock is ahead; two of them differ by the margin at most.
+// skew returns how far a clock is ahead, in milliseconds. Two clocks differ by at most the
+// margin.
 func skew(arg int) int64 {
 	marginMS := testRules.Margin.Milliseconds()
 	return [...]int64{0, marginMS, int64(arg) % marginMS}[arg/4%3]
@@ -101,14 +104,14 @@
 
 func (m *model) procs() []*proc {
 	alive := slices.DeleteFunc(slices.Clone(m.hosts), func(p *proc) bool { return p == nil })
-	return append(alive, m.strays...)
+	return append(alive, m.orphans...)
 }
 
 func (m *model) learn(p *proc, plan Plan) {
 	if plan.Version > p.plan.Version {
 		p.plan = plan
 	}
-	if m.fault == believeLease {
+	if m.fault == ignoreLeaseEnd {
 		plan = plan.clone()
 		for _, slot := range plan.Slots {
 			if last, ok := slot.last(); ok && last.Keeper() == p.node.Incarnation {
@@ -119,7 +122,7 @@
 	p.ledger.Learn(plan)
 }
 
-// control lets the process change the plan as its outer layer would.
+// control lets the process change the plan as a node would.
 func (m *model) control(p *proc, e event) {
 	if e.Arg%7 != 0 {
 		m.learn(p, m.table)
@@ -135,8 +138,8 @@
 		self.StartedMS -= 2*testRules.Margin.Milliseconds() + 1
 	}
 	next, changed := Next(m.clock(p), p.plan, self, members, testRules)
-	if p.taken.Incarnation != "" && e.Arg%3 == 0 {
-		next, changed = HandOver(m.clock(p), p.plan, p.taken, p.node, testRules)
+	if p.importedFrom.Incarnation != "" && e.Arg%3 == 0 {
+		next, changed = HandOver(m.clock(p), p.plan, p.importedFrom, p.node, testRules)
 	}
 	if changed {
 		m.write(p, next, e.Arg)
@@ -162,7 +165,7 @@
 	return true
 }
 
-// send brings a new or a repeated key to a process, mostly to its keeper.
+// send delivers a new or a repeated key to a process, which is mostly the owner of the key.
 func (m *model) send(p *proc, e event) {
 	if len(m.keys) == 0 || e.Pick%3 == 0 {
 		aheadMS := int64(max(e.Arg, 4*e.Arg-400))
@@ -170,10 +173,10 @@
 		m.keys = append(m.keys, mint(minted, uuid.NewSHA1(uuid.Nil, fmt.Append(nil, len(m.keys)))))
 		e.Pick = -1
 	}
-	// Newer keys are repeated more often.
+	// Recent keys are repeated more often.
 	k := m.keys[len(m.keys)-1-max(e.Pick, 0)%min(len(m.keys), 1+e.Arg%40)]
 	_, code := Route(m.clock(p), p.plan, k, true, func(string) bool { return e.Arg%2 == 0 }, testRules)
-	m.judge("route", k, code)
+	m.checkCode("route", k, code)
 	if e.Arg%5 != 0 {
 		if holding, ok := m.table.Find(k); ok {
 			for _, other := range m.procs() {
@@ -185,8 +188,8 @@
 	}
 	m.sendNaive(p, k)
 	verdict, answer, code := p.ledger.Accept(m.clock(p), k, "order", 1)
-	m.seen[fmt.Sprint(verdict, " ", code)]++
-	m.judge("accept", k, code)
+	m.caseCounts[fmt.Sprint(verdict, " ", code)]++
+	m.checkCode("accept", k, code)
 	if verdict == Done && answer != k.Text {
 		m.err = fmt.Errorf("key %s got the answer of %s", k.Text, answer)
 	}
@@ -194,19 +197,19 @@
 		return
 	}
 	m.ran[k.Text]++
-	if m.ran[k.Text] > 1 || m.never[k.Text] {
-		m.err = fmt.Errorf("key %s ran %d times, said to be too old: %t", k.Text, m.ran[k.Text], m.never[k.Text])
+	if m.ran[k.Text] > 1 || m.tooOld[k.Text] {
+		m.err = fmt.Errorf("key %s ran %d times, rejected as too old: %t", k.Text, m.ran[k.Text], m.tooOld[k.Text])
 	}
 	p.running = append(p.running, k)
 }
 
-// judge checks that a key that is said not to have run has not.
-func (m *model) judge(where string, k Key, code result.Code) {
+// checkCode checks that a key with a code of the family NotRun has not run.
+func (m *model) checkCode(where string, k Key, code result.Code) {
 	if code.Family() == result.NotRun && m.ran[k.Text] > 0 {
-		m.err = fmt.Errorf("%s said %v of key %s, which ran", where, code, k.Text)
+		m.err = fmt.Errorf("%s returned %v for key %s, which ran", where, code, k.Text)
 	}
 	if code == result.KeyTooOld {
-		m.never[k.Text] = true
+		m.tooOld[k.Text] = true
 	}
 }
 
@@ -218,11 +221,11 @@
 	m.naive[id] = true
 	m.naiveRan[k.Text]++
 	if m.naiveRan[k.Text] == 2 {
-		m.naiveDoubles++
+		m.naiveDuplicates++
 	}
 }
 
-// end ends the oldest run of the process.
+// end completes the oldest running key of the process.
 func (m *model) end(p *proc, arg int) {
 	if len(p.running) == 0 {
 		return
@@ -248,16 +251,16 @@
 	}
 	to := m.procs()[e.Pick%len(m.procs())]
 	records := p.ledger.Export()
-	if m.fault == handOverNothing {
+	if m.fault == handOverNoRecords {
 		records = nil
 	}
 	if to == p || to.frozen || !to.ledger.Import(p.node.Incarnation, records) {
 		return
 	}
-	to.taken = p.node
+	to.importedFrom = p.node
 	m.learn(p, m.table)
 	if next, changed := HandOver(m.clock(p), p.plan, p.node, to.node, testRules); changed {
-		m.seen["handover"]++
+		m.caseCounts["handover"]++
 		m.write(p, next, e.Arg)
 	}
 	if m.fault == handOverOpen {
@@ -265,8 +268,8 @@
 	}
 }
 
-// disturb changes the state of a host.
-func (m *model) disturb(e event) {
+// injectFault crashes, restarts, replaces, freezes or unfreezes a host.
+func (m *model) injectFault(e event) {
 	host := e.Pick % len(m.hosts)
 	p := m.hosts[host]
 	switch {
@@ -276,8 +279,8 @@
 		m.hosts[host] = nil
 	case e.Arg%8 == 4:
 		m.start(host, e.Arg)
-	case e.Arg%4 == 1 && len(m.strays) < 4:
-		m.strays = append(m.strays, p)
+	case e.Arg%4 == 1 && len(m.orphans) < 4:
+		m.orphans = append(m.orphans, p)
 		m.names[host] = fmt.Sprint(m.names[host], "x")
 		m.start(host, e.Arg)
 	default:
@@ -294,7 +297,7 @@
 	}
 	switch op := e.Op % 32; {
 	case op == 0:
-		m.disturb(e)
+		m.injectFault(e)
 	case op < 5:
 		m.nowMS += int64(e.Arg * e.Arg / 10)
 	case op == 5 && len(m.delayed) > 0:
@@ -334,6 +337,9 @@
 
 const traces = 3000
 
+// TestEachKeyRunsAtMostOnce checks that on any trace of faults, changes of the plan and
+// repeated requests, no key runs twice, runs after it was rejected as too old, or is reported
+// as not run although it ran.
 func TestEachKeyRunsAtMostOnce(t *testing.T) {
 	number := func(top int) *rapid.Generator[int] { return rapid.IntRange(0, top) }
 	events := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) event {
@@ -346,37 +352,40 @@
 	})
 }
 
-// The naive version records a key where it arrives. On the same traces it
-// doubles runs, and every mechanism that is switched off is found out.
+// TestTracesTellRightFromWrong checks that no key runs twice on the random traces, whereas an
+// implementation that records each key at the node where it arrives does run keys twice. It
+// also checks that the traces reach the interesting cases often.
 func TestTracesTellRightFromWrong(t *testing.T) {
 	is := is.New(t)
-	seen := map[string]int{}
-	naiveDoubles := 0
+	caseCounts := map[string]int{}
+	naiveDuplicates := 0
 	for seed := range uint64(traces) {
 		m := newModel(noFault)
 		err := m.run(randomTrace(seed))
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		naiveDoubles += m.naiveDoubles
-		for what, count := range m.seen {
-			seen[what] += count
+		naiveDuplicates += m.naiveDuplicates
+		for what, count := range m.caseCounts {
+			caseCounts[what] += count
 		}
 	}
-	t.Log("naive doubles", naiveDoubles, "seen", seen)
-	is.True(naiveDoubles > 0)
+	t.Log("keys run twice without owners:", naiveDuplicates, "seen", caseCounts)
+	is.True(naiveDuplicates > 0)
 	for _, what := range []string{"0 0", "1 running_still", "2 replayed", "3 lost", "3 owner_gone", "3 forgotten", "handover"} {
-		is.True(seen[what] > traces/10) // the traces reach the case often
+		is.True(caseCounts[what] > traces/10) // the traces reach this case often
 	}
 }
 
+// TestTracesFindFaults checks that the random traces detect every disabled safety
+// mechanism.
 func TestTracesFindFaults(t *testing.T) {
 	for name, f := range map[string]fault{
 		"ignore promise":          ignorePromise,
-		"believe lease":           believeLease,
+		"ignore lease end":        ignoreLeaseEnd,
 		"takeover without margin": takeoverWithoutMargin,
 		"hand over while open":    handOverOpen,
-		"hand over nothing":       handOverNothing,
+		"hand over no records":    handOverNoRecords,
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(traces) {
--- a/internal/once/next.go
+++ b/internal/once/next.go
@@ -7,50 +7,50 @@
 )
 
 type (
-	// draft is a plan under change.
+	// draft is a plan that is being changed by one node.
 	draft struct {
 		plan    Plan
 		nowMS   int64
 		self    Node
-		living  []Node
+		live    []Node
 		rules   Rules
 		changed bool
 	}
 
-	// share is how many slots a living node holds.
-	share struct {
+	// slotCount is the number of slots that a live node holds.
+	slotCount struct {
 		node  Node
 		slots int
 	}
 )
 
 const (
-	// minTenure is the least time for which a slot is held before it is given
-	// to another node for balance, so that a flapping member moves few slots.
+	// minTenure is the shortest time for which a node holds a slot before it gives the
+	// slot to another node for balance, so that a flapping member moves few slots.
 	minTenure = 5 * time.Second
-	// A holding is renewed once less than renewNumerator/renewDenominator of
-	// the lease is left.
+	// A holding is due for renewal when less than renewNumerator/renewDenominator of
+	// the lease remains.
 	renewNumerator   = 3
 	renewDenominator = 4
-	// freeMargins is the number of clock margins before its end from which a
-	// holding is no longer renewed and the slot may be claimed. It is above the
-	// two margins of a cut, so that no renewal takes a cut back.
+	// freeMargins is the number of clock margins before the end of a holding from which
+	// the holding is not renewed and its slot may be claimed. It is above cutMargins,
+	// so that a renewal cannot undo the early end of a holding.
 	freeMargins = 4
-	// cutMargins is the least number of clock margins from now to the end of a
-	// holding that is closed now, so that the end is above the mint time of
-	// every accepted key.
+	// cutMargins is the smallest number of clock margins between now and the end of a
+	// holding that is closed now. With two margins, the end is later than the mint time
+	// of every key that was accepted.
 	cutMargins = 2
 )
 
-// Next returns the plan as self should change it, and false when nothing is to
-// be written. The outer layer hands the plan to Ledger.Promise and then
-// commits it, if the table still has the version of p.
+// Next returns the plan with the changes that self should make, or false if there are none
+// to write. The caller passes the plan to Ledger.Promise and then commits it, provided that
+// the table still has the version of p.
 //
-// A node changes only its own holdings and those of a former incarnation at its
-// own address, and claims slots whose last holding has ended or is about to.
+// A node changes only its own holdings and those of a former incarnation at its own address,
+// and claims slots whose last holding has ended or is about to end.
 func Next(now time.Time, p Plan, self Node, members []Node, rules Rules) (Plan, bool) {
 	d := &draft{plan: p.clone(), nowMS: now.UnixMilli(), self: self, rules: rules}
-	d.living = livingNodes(self, members)
+	d.live = liveNodes(self, members)
 	if d.superseded(members) {
 		return p, false
 	}
@@ -58,11 +58,11 @@
 		d.plan.Slots = make([]Slot, rules.Slots)
 	}
 	if self.Leaving {
-		d.closeOwn(d.living)
+		d.closeOwn(d.live)
 	} else {
 		d.closePredecessors()
 		d.renew()
-		d.giveUpSurplus()
+		d.rebalance()
 		d.claim()
 	}
 	if !d.changed {
@@ -71,15 +71,15 @@
 	return d.finish(), true
 }
 
-// CutLead is the time from the closing of a holding to its end.
+// CutLead returns the time between the early closing of a holding and its end.
 func CutLead(rules Rules) time.Duration {
 	return cutMargins*rules.Margin + rules.ClaimLead
 }
 
-// HandOver returns the plan after from has closed its ledger by Export and to
-// has imported every record: to keeps the records of all that from kept, and
-// takes the slots that from still holds. Either of the two may write it,
-// so that to can do it when the platform is back and from is gone.
+// HandOver returns the plan after a handover, in which from has closed its ledger by Export
+// and to has imported every record. The node to takes over the records of all holdings that
+// from had the records of, and gets the slots that from still holds. Either node may write
+// the plan, so that to can write it after an outage of the platform even if from is gone.
 func HandOver(now time.Time, p Plan, from, to Node, rules Rules) (Plan, bool) {
 	d := &draft{plan: p.clone(), nowMS: now.UnixMilli(), self: from, rules: rules}
 	d.closeOwn([]Node{to})
@@ -98,9 +98,9 @@
 	return d.finish(), true
 }
 
-// superseded says whether a later incarnation has taken over at the address. A
-// start that is later by less than the margin is a former incarnation's, from
-// before the clock was set back.
+// superseded reports whether a later incarnation has taken over at the address of this node.
+// A start time that is later by no more than the margin belongs to a former incarnation that
+// started before the clock was set back.
 func (d *draft) superseded(members []Node) bool {
 	latestMS := d.self.StartedMS + d.marginMS()
 	for _, member := range members {
@@ -118,18 +118,19 @@
 	return false
 }
 
-// sameAddress says whether the incarnation is another one of the same node at
-// the same address.
+// sameAddress reports whether the given incarnation is a different incarnation of this node
+// at the same address.
 func (d *draft) sameAddress(name, address, incarnation string) bool {
 	return name == d.self.Name && address == d.self.Address && incarnation != d.self.Incarnation
 }
 
-// closePredecessors ends the holdings of a former incarnation at this address.
-// It accepted nothing after the start of this one, and nothing minted more than
-// a margin ahead of its clock, which was at most a margin ahead of this one's.
+// closePredecessors ends the holdings of former incarnations at this address. A former
+// incarnation accepted no key after the start of this one, and no key minted more than one
+// margin ahead of its own clock, which was at most one margin ahead of the clock of this
+// incarnation.
 //
-// With Margin 1000 and a start at 50000: the last key accepted was minted at
-// 52000 at the latest, so the holding ends at 52001.
+// For example, with a margin of 1000 ms and a start at 50000, the last accepted key was
+// minted at 52000 at the latest, so the holding ends at 52001.
 func (d *draft) closePredecessors() {
 	if d.self.Translated {
 		return
@@ -140,27 +141,26 @@
 	})
 }
 
-// closeOwn ends the node's own holdings, as it is leaving, and gives each slot to
-// the one of the heirs that holds the least. Were the slots left free until the
-// others claim them, an outage of the platform in between would leave their keys
-// without an owner.
-func (d *draft) closeOwn(heirs []Node) {
+// closeOwn ends the holdings of this node, which is leaving, and assigns each slot to the
+// successor with the fewest slots. If the slots stayed free until other nodes claim them, an
+// outage of the platform in between would leave their keys without an owner.
+func (d *draft) closeOwn(successors []Node) {
 	closed := d.closeLast(d.cutMS(), d.isOwn)
-	shares := d.sharesOf(heirs)
-	if len(shares) == 0 {
+	slotCounts := d.slotCountsOf(successors)
+	if len(slotCounts) == 0 {
 		return
 	}
 	for _, i := range closed {
-		least := leastShare(shares)
-		shares[least].slots++
-		d.give(i, shares[least].node)
+		least := fewestSlots(slotCounts)
+		slotCounts[least].slots++
+		d.assign(i, slotCounts[least].node)
 	}
 }
 
-// give appends a holding of the node that begins where the slot's last one ends.
-// The mint times in between belonged to nobody, so that no key waits for an owner
-// for ever.
-func (d *draft) give(i int, node Node) {
+// assign appends a holding of the node that begins at the end of the last holding of the slot.
+// Mint times since that end had no owner, and the new holding covers them, so that every key
+// gets an owner eventually.
+func (d *draft) assign(i int, node Node) {
 	slot := &d.plan.Slots[i]
 	fromMS := d.nowMS
 	if last, ok := slot.last(); ok {
@@ -170,8 +170,8 @@
 	d.changed = true
 }
 
-// closeLast ends the last holdings that match at closeMS, removes those that
-// would begin only then, and returns the slots in which it did so.
+// closeLast ends the last holdings that match at closeMS, removes the matching holdings that
+// begin at or after closeMS, and returns the changed slots.
 func (d *draft) closeLast(closeMS int64, match func(Holding) bool) (closed []int) {
 	for i := range d.plan.Slots {
 		if d.closeSlot(&d.plan.Slots[i], closeMS, match) {
@@ -198,7 +198,8 @@
 	}
 }
 
-// renew extends all of the node's holdings once one of them is due.
+// renew extends all holdings of this node as soon as one of them is due, so that one write
+// renews all of them.
 func (d *draft) renew() {
 	dueMS := d.nowMS + d.leaseMS()*renewNumerator/renewDenominator
 	due := false
@@ -219,16 +220,16 @@
 	}
 }
 
-// giveUpSurplus ends holdings early while another living node holds at least
-// two slots less, and gives each to that node in the same change: were it left
-// free until the other claims it, an outage of the platform in between would
-// leave its keys without an owner. It waits until no slot is free.
-func (d *draft) giveUpSurplus() {
+// rebalance ends holdings early while another live node holds at least two slots less
+// than this one, and assigns the slots to that node in the same change. If a slot stayed free
+// until the other node claims it, an outage of the platform in between would leave its keys
+// without an owner. Nothing is given up while any slot is free.
+func (d *draft) rebalance() {
 	if slices.ContainsFunc(d.plan.Slots, d.isFree) {
 		return
 	}
 	for i := range d.plan.Slots {
-		next, ok := d.needier()
+		next, ok := d.leastLoaded()
 		if !ok {
 			return
 		}
@@ -239,23 +240,23 @@
 			continue
 		}
 		last.UntilMS = d.cutMS()
-		d.give(i, next)
+		d.assign(i, next)
 	}
 }
 
-// needier returns the living node with the least slots, if it holds at least two
-// less than this one.
-func (d *draft) needier() (Node, bool) {
-	shares := d.shares()
-	mine := slices.IndexFunc(shares, func(s share) bool { return s.node.Incarnation == d.self.Incarnation })
-	least := leastShare(shares)
-	if shares[mine].slots-shares[least].slots < 2 {
+// leastLoaded returns the live node with the fewest slots, if it holds at least two slots less
+// than this node.
+func (d *draft) leastLoaded() (Node, bool) {
+	slotCounts := d.slotCounts()
+	own := slices.IndexFunc(slotCounts, func(s slotCount) bool { return s.node.Incarnation == d.self.Incarnation })
+	least := fewestSlots(slotCounts)
+	if slotCounts[own].slots-slotCounts[least].slots < 2 {
 		return Node{}, false
 	}
-	return shares[least].node, true
+	return slotCounts[least].node, true
 }
 
-// holding returns a holding of a node from a mint time on.
+// holding returns a holding of the node that begins at the mint time fromMS.
 func (d *draft) holding(node Node, fromMS int64) Holding {
 	return Holding{
 		Name:        node.Name,
@@ -267,29 +268,29 @@
 	}
 }
 
-// claim takes the free slots that fall to this node. Every node computes the
-// same distribution, so that those with the same view seldom collide.
+// claim takes the free slots that the distribution assigns to this node. All nodes compute
+// the same distribution, so that nodes with the same view rarely write conflicting changes.
 func (d *draft) claim() {
-	shares := d.shares()
+	slotCounts := d.slotCounts()
 	for i, slot := range d.plan.Slots {
 		if !d.isFree(slot) {
 			continue
 		}
-		least := leastShare(shares)
-		shares[least].slots++
-		if shares[least].node.Incarnation == d.self.Incarnation {
-			d.take(i)
+		least := fewestSlots(slotCounts)
+		slotCounts[least].slots++
+		if slotCounts[least].node.Incarnation == d.self.Incarnation {
+			d.claimSlot(i)
 		}
 	}
 }
 
-// take makes a free slot this node's.
-func (d *draft) take(i int) {
+// claimSlot assigns a free slot to this node.
+func (d *draft) claimSlot(i int) {
 	if last, ok := d.plan.Slots[i].last(); ok && d.isOwn(last) {
 		d.extend(i)
 		return
 	}
-	d.give(i, d.self)
+	d.assign(i, d.self)
 }
 
 func (d *draft) extend(i int) {
@@ -298,8 +299,8 @@
 	d.changed = true
 }
 
-// finish drops the holdings whose keys are too old at every node, but for the
-// last of each slot, which says where the next one begins.
+// finish drops the holdings whose keys are too old by the clock of every node, and increments
+// the version. The last holding of a slot is kept, because the next one begins at its end.
 func (d *draft) finish() Plan {
 	oldestMS := d.nowMS - d.rules.KeyAge.Milliseconds() - 2*d.marginMS()
 	for i := range d.plan.Slots {
@@ -316,36 +317,36 @@
 	return h.Incarnation == d.self.Incarnation && h.Records == ""
 }
 
-// isFree says whether the slot's last holding has ended or was cut to end soon.
+// isFree reports whether the last holding of the slot has ended or ends soon.
 func (d *draft) isFree(slot Slot) bool {
 	last, ok := slot.last()
 	windowMS := freeMargins*d.marginMS() + d.rules.ClaimLead.Milliseconds()
 	return !ok || last.UntilMS <= d.nowMS+windowMS
 }
 
-// cutMS is the end of a holding that is closed now: above the mint time of
+// cutMS returns the end of a holding that is closed now. It is later than the mint time of
 // every key that the holder has accepted.
 func (d *draft) cutMS() int64 {
 	return d.nowMS + CutLead(d.rules).Milliseconds() + 1
 }
 
-// shares counts the slots of each living node that are not free.
-func (d *draft) shares() []share {
-	return d.sharesOf(d.living)
+// slotCounts counts the slots of each live node, without free slots.
+func (d *draft) slotCounts() []slotCount {
+	return d.slotCountsOf(d.live)
 }
 
-func (d *draft) sharesOf(nodes []Node) []share {
+func (d *draft) slotCountsOf(nodes []Node) []slotCount {
 	held := make(map[string]int)
 	for _, slot := range d.plan.Slots {
 		if last, ok := slot.last(); ok && !d.isFree(slot) && last.Records == "" {
 			held[last.Incarnation]++
 		}
 	}
-	shares := make([]share, 0, len(nodes))
+	slotCounts := make([]slotCount, 0, len(nodes))
 	for _, node := range nodes {
-		shares = append(shares, share{node, held[node.Incarnation]})
+		slotCounts = append(slotCounts, slotCount{node, held[node.Incarnation]})
 	}
-	return shares
+	return slotCounts
 }
 
 func (d *draft) marginMS() int64 {
@@ -356,33 +357,34 @@
 	return d.rules.Lease.Milliseconds()
 }
 
-func leastShare(shares []share) int {
+func fewestSlots(slotCounts []slotCount) int {
 	least := 0
-	for i, s := range shares {
-		if s.slots < shares[least].slots {
+	for i, s := range slotCounts {
+		if s.slots < slotCounts[least].slots {
 			least = i
 		}
 	}
 	return least
 }
 
-// livingNodes returns self and the members that may hold slots, by name, with
-// the latest incarnation only of each name and address, which is self at its own.
-func livingNodes(self Node, members []Node) []Node {
-	var living []Node
+// liveNodes returns self and the members that may hold slots, sorted by name. Of several
+// incarnations with the same name and address, only the latest is included; at the address of
+// self, that is self.
+func liveNodes(self Node, members []Node) []Node {
+	var live []Node
 	for _, node := range append([]Node{self}, members...) {
-		known := slices.IndexFunc(living, func(n Node) bool {
+		known := slices.IndexFunc(live, func(n Node) bool {
 			return n.Name == node.Name && n.Address == node.Address
 		})
 		if known < 0 {
-			living = append(living, node)
-		} else if known > 0 && node.StartedMS > living[known].StartedMS {
-			living[known] = node
+			live = append(live, node)
+		} else if known > 0 && node.StartedMS > live[known].StartedMS {
+			live[known] = node
 		}
 	}
-	living = slices.DeleteFunc(living, func(n Node) bool { return n.Leaving })
-	slices.SortFunc(living, func(a, b Node) int {
+	live = slices.DeleteFunc(live, func(n Node) bool { return n.Leaving })
+	slices.SortFunc(live, func(a, b Node) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
-	return living
+	return live
 }
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -1,13 +1,14 @@
-// Package once runs a request with an idempotency key at most once.
+// Package once ensures that a request with an idempotency key runs at most once.
 //
-// The mint time inside the key chooses its owner. Every service has a Plan in
-// the platform's table: a fixed number of slots, each with a list of holdings
-// whose intervals of mint time never overlap. A key falls into one slot by its
-// hash and belongs to the holding that covers its mint time. Only the keeper of
-// that holding runs the key, and the keeper's Ledger in memory is the record.
-// Nothing is written to the platform on the path of a request.
+// Every service has a Plan in a table of the platform, which assigns each key to an owner.
+// The plan has a fixed number of slots, each with a list of holdings whose intervals of mint
+// time never overlap. The hash of a key determines its slot, and the key belongs to the
+// holding of that slot that covers its mint time. Only the owner of the holding runs the
+// key, and it records the key in its Ledger, in memory. Handling a request writes
+// nothing to the platform.
 //
-// Next says how a node should change the plan, and Ledger decides each key.
+// Next computes the changes that a node should make to the plan, and Ledger decides whether
+// a key may run.
 package once
 
 import (
@@ -25,112 +26,115 @@
 type (
 	// Key is an idempotency key, a UUIDv7.
 	Key struct {
-		// Text is the canonical form in lower case.
+		// Text is the canonical form, in lower case.
 		Text string
-		// Minted is the time inside the key, in whole milliseconds.
+		// Minted is the mint time encoded in the key, in whole milliseconds.
 		Minted time.Time
 	}
 
-	// Holding gives one node incarnation the keys of a slot that were minted in
+	// Holding assigns to one node incarnation the keys of a slot that are minted in
 	// [FromMS, UntilMS), both in Unix milliseconds.
 	Holding struct {
 		Name        string `json:"name"`
 		Incarnation string `json:"incarnation"`
 		Address     string `json:"address"`
-		// StartedMS is the start of the incarnation in Unix milliseconds.
+		// StartedMS is the start time of the incarnation in Unix milliseconds.
 		StartedMS int64 `json:"started_ms"`
 		FromMS    int64 `json:"from_ms"`
 		UntilMS   int64 `json:"until_ms"`
-		// Records names the incarnation that took over the records after a
-		// graceful handover; empty means the holder itself.
+		// Records is the incarnation that took over the records in a graceful
+		// handover. It is empty if Incarnation still has them.
 		Records string `json:"records,omitempty"`
 	}
 
-	// Slot is the list of holdings of one share of the keys, oldest first.
+	// Slot is one hash partition of the keys, with its holdings from oldest to newest.
 	Slot struct {
 		Holdings []Holding `json:"holdings"`
 	}
 
-	// Plan says which incarnation runs which keys of a service.
+	// Plan assigns the keys of a service to node incarnations.
 	Plan struct {
 		Service string `json:"service"`
-		// Version rises with every change. It belongs to the content: plans
-		// that are compared must all have it from Next, or all from the
-		// version of the table's row.
+		// Version increases with every change and is part of the content. When
+		// plans are compared, their versions must all be set by Next, or all be taken
+		// from the version of the table row.
 		Version int64  `json:"version"`
 		Slots   []Slot `json:"slots"`
 	}
 
-	// Node is a member of the service as Next sees it.
+	// Node describes a member of the service to Next.
 	Node struct {
 		Name        string
 		Incarnation string
 		Address     string
-		// StartedMS is the start of the incarnation in Unix milliseconds, read
-		// after the relay address was bound: the bind proves that the former
-		// incarnation at the address accepts nothing any more. A node that is
-		// not leaving keeps it bound.
+		// StartedMS is the start time of the incarnation in Unix milliseconds, read
+		// after the relay address was bound. The successful bind proves that the
+		// former incarnation at the address no longer accepts requests. A node that
+		// is not leaving keeps the address bound.
 		StartedMS int64
 		Leaving   bool
-		// Translated says that the address is not the one that was bound. The
-		// bind then proves nothing of a former incarnation, which may be on
-		// another host, so its holdings run to their ends.
+		// Translated is set if the published address differs from the bound one. The
+		// bind then proves nothing about a former incarnation, which may be on
+		// another host, so the holdings of that incarnation are not closed early.
 		Translated bool
 	}
 
-	// Rules are the declared bounds.
+	// Rules are the declared limits and durations.
 	Rules struct {
-		// Slots is the number of slots of a new plan. A plan keeps the number
-		// that it was made with, since it decides the slot of each key.
+		// Slots is the number of slots of a new plan. An existing plan keeps its
+		// number of slots, because the number determines the slot of each key.
 		Slots int
-		// Lease is how far ahead a holding is renewed. It should be at least
-		// 16 times Margin, so that holdings are renewed well before they count as free.
+		// Lease is the time by which a renewal extends a holding beyond now. It should
+		// be at least 16 times Margin, so that holdings are renewed well before they
+		// count as free.
 		Lease time.Duration
-		// Margin is the most by which the clocks of two hosts differ.
+		// Margin is the largest difference between the clocks of two hosts.
 		Margin time.Duration
-		// ClaimLead is how much earlier than needed a holding is closed, so that
-		// the next holder has claimed the slot before the end comes and no key
-		// finds it without an owner.
+		// ClaimLead is additional time between the closing of a holding and its end. It
+		// lets the next holder claim the slot before the holding ends, so that no key
+		// is without an owner.
 		ClaimLead time.Duration
-		// KeyAge is how long a key is accepted after its minting.
+		// KeyAge is how long after its mint time a key is accepted.
 		KeyAge time.Duration
 	}
 )
 
 var (
 	namespace = errorx.NewNamespace("once")
-	// InvalidKey means that the text is not a UUIDv7 in canonical form.
+	// InvalidKey means that a text is not a UUIDv7 in canonical form.
 	InvalidKey = namespace.NewType("invalid_key")
-	// InvalidPlan means that the document is not a plan or has overlapping
+	// InvalidPlan means that a document is not a plan, or is a plan with overlapping
 	// holdings.
 	InvalidPlan = namespace.NewType("invalid_plan")
 )
 
-// ParseKey reads a UUIDv7 in canonical lower case. It returns InvalidKey.
+// ParseKey parses a UUIDv7 in its canonical form, in lower case. Its errors are of type
+// InvalidKey.
 func ParseKey(text string) (Key, error) {
 	id, err := uuid.Parse(text)
 	if err != nil {
-		return Key{}, InvalidKey.New("not a uuid")
+		return Key{}, InvalidKey.New("idempotency key is not a UUID")
 	}
 	if id.Version() != 7 || id.Variant() != uuid.RFC4122 {
-		return Key{}, InvalidKey.New("not version 7")
+		return Key{}, InvalidKey.New("idempotency key is not a UUID of version 7")
 	}
 	if id.String() != text {
-		return Key{}, InvalidKey.New("not in canonical form")
+		return Key{}, InvalidKey.New("idempotency key is not in canonical form")
 	}
 	return keyOf(id), nil
 }
 
-// Mint makes a key with the given mint time and random bits.
+// Mint returns a new key with the given mint time and random bits.
 func Mint(now time.Time) Key {
 	return mint(now, uuid.New())
 }
 
-// DecodePlan reads a plan as Encode wrote it. It returns InvalidPlan.
+// DecodePlan parses a document that was returned by Encode. Its errors are of type
+// InvalidPlan.
 func DecodePlan(document []byte) (Plan, error) {
 	var p Plan
 	if err := json.Unmarshal(document, &p); err != nil {
-		return Plan{}, InvalidPlan.Wrap(err, "not a plan")
+		return Plan{}, InvalidPlan.Wrap(err, "cannot decode plan")
 	}
 	for i, slot := range p.Slots {
 		if !slot.ordered() {
@@ -144,13 +148,13 @@
 func (p Plan) Encode() []byte {
 	document, err := json.Marshal(p)
 	if err != nil {
-		// A struct of strings and integers always has a JSON form.
+		// A struct of strings and integers can always be encoded as JSON.
 		panic(err)
 	}
 	return document
 }
 
-// Find returns the holding that the key belongs to.
+// Find returns the holding that the key belongs to, and whether there is one.
 func (p Plan) Find(k Key) (Holding, bool) {
 	if len(p.Slots) == 0 {
 		return Holding{}, false
@@ -165,8 +169,7 @@
 	return Holding{}, false
 }
 
-// Keeper returns the incarnation that runs the holding's keys and has their
-// records.
+// Keeper returns the incarnation that runs the keys of the holding and has their records.
 func (h Holding) Keeper() string {
 	if h.Records != "" {
 		return h.Records
@@ -174,16 +177,16 @@
 	return h.Incarnation
 }
 
-// Route says where an entry node sends a key: the code is 0 and the keeper of
-// the holding runs it, or the code is the truthful answer.
+// Route determines how an entry node handles a key. If the code is 0, the entry node forwards
+// the key to the incarnation that owns the returned holding. Otherwise the code is the result
+// of the request.
 //
-// living tells whether the incarnation is a member that can be reached. The
-// entry node cannot know what ran elsewhere, so for a key that may have been
-// sent before, it answers with a code of the family NotRun only where that
-// holds whatever newer plan there is.
-func Route(now time.Time, p Plan, k Key, sentBefore bool, living func(incarnation string) bool, rules Rules) (Holding, result.Code) {
-	// The owner accepts mint times up to its own clock and one margin, and its
-	// clock may be one margin ahead of this one.
+// isLive reports whether an incarnation is a reachable member. The entry node does not know
+// what ran on other nodes. For a key that may have been sent before, it therefore returns a
+// code of the family NotRun only if the code holds under every newer plan as well.
+func Route(now time.Time, p Plan, k Key, sentBefore bool, isLive func(incarnation string) bool, rules Rules) (Holding, result.Code) {
+	// The owner accepts mint times up to one margin ahead of its own clock, which may in
+	// turn be one margin ahead of the local clock.
 	if k.Minted.After(now.Add(2 * rules.Margin)) {
 		return Holding{}, result.KeyFromFuture
 	}
@@ -191,10 +194,10 @@
 		return Holding{}, result.Forgotten
 	}
 	holding, ok := p.Find(k)
-	if ok && living(holding.Keeper()) {
+	if ok && isLive(holding.Keeper()) {
 		return holding, 0
 	}
-	if !ok && p.passedBy(k) {
+	if !ok && p.neverCovered(k) {
 		return Holding{}, result.KeyTooOld
 	}
 	if sentBefore {
@@ -203,9 +206,9 @@
 	return Holding{}, result.NoOwner
 }
 
-// Conclude returns what a caller may conclude of a key that it sent several
-// times, from the conclusion so far and the newest code. Callers outside the
-// project apply the same rule, Code.Then.
+// Conclude combines the result codes of a key that was sent several times: the combined code
+// so far and the code of the newest request. Callers outside of the project apply the same
+// rule, Code.Then.
 func Conclude(former, newest result.Code) result.Code {
 	return former.Then(newest)
 }
@@ -214,11 +217,11 @@
 	return int(xxhash.Sum64String(k.Text) % uint64(len(p.Slots)))
 }
 
-// passedBy says of a key that Find doesn't find whether a holding of its slot
-// begins later. Holdings are only ever added at the end of the list, so no later
-// plan will cover it. They are dropped from the list only when all of their keys
-// are older than KeyAge, which has to be checked first.
-func (p Plan) passedBy(k Key) bool {
+// neverCovered reports, for a key without a holding, whether a holding of its slot begins after
+// the mint time of the key. Holdings are only appended to the list, so no later plan can
+// cover the key. Holdings are removed from the list only when all of their keys are older
+// than KeyAge, so the caller must check the age of the key first.
+func (p Plan) neverCovered(k Key) bool {
 	if len(p.Slots) == 0 {
 		return false
 	}
@@ -257,8 +260,8 @@
 	return Key{Text: id.String(), Minted: time.Unix(id.Time().UnixTime())}
 }
 
-// mint writes the time and the version over the random bits of a UUIDv4, whose
-// variant is the same.
+// mint overwrites random bits of a UUIDv4 with the time and the version of a UUIDv7. The
+// variant of both is the same.
 func mint(now time.Time, id uuid.UUID) Key {
 	ms := uint64(now.UnixMilli())
 	for i := range 6 {
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -20,8 +20,8 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// script runs the commands of one data file. Times are milliseconds after a
-// fixed start; a key is written as mint time, slash, number.
+// script runs the commands of one data file. Times are in milliseconds after a fixed start,
+// and a key is written as its mint time, a slash and a number.
 type script struct {
 	nowMS   int64
 	rules   Rules
@@ -44,7 +44,7 @@
 	return mint(time.UnixMilli(startMS+ms), uuid.NewSHA1(uuid.Nil, []byte(number)))
 }
 
-func (s *script) show() string {
+func (s *script) formatTable() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version %d\n", s.table.Version)
 	for i, slot := range s.table.Slots {
@@ -57,8 +57,8 @@
 	return b.String()
 }
 
-// commit writes the plan unless the ledger's promise forbids it. Nobody learns
-// of a write whose answer is lost.
+// commit writes the plan if the ledger promises its cuts. With the argument lost, the
+// response to the write is lost, and no ledger learns the plan.
 func (s *script) commit(d *datadriven.TestData, node string, next Plan, changed bool) string {
 	if !changed {
 		return "unchanged\n"
@@ -75,7 +75,7 @@
 			l.Learn(next)
 		}
 	}
-	return s.show()
+	return s.formatTable()
 }
 
 func (s *script) run(t *testing.T, d *datadriven.TestData) string {
@@ -133,8 +133,8 @@
 	case "stats":
 		return fmt.Sprintf("%+v\n", l.Stats())
 	case "route":
-		living := func(incarnation string) bool { return s.ledgers[incarnation] != nil }
-		h, code := Route(s.now(), s.table, s.key(arg(0)), d.HasArg("sent"), living, s.rules)
+		isLive := func(incarnation string) bool { return s.ledgers[incarnation] != nil }
+		h, code := Route(s.now(), s.table, s.key(arg(0)), d.HasArg("sent"), isLive, s.rules)
 		return fmt.Sprintln(code, h.Keeper())
 	case "conclude":
 		former, _ := result.Parse(arg(0))
@@ -171,10 +171,10 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		k, err := ParseKey(text)
 		if (err == nil) != canonical.MatchString(text) {
-			t.Fatalf("%q gives %v", text, err)
+			t.Fatalf("parsing %q returned error %v", text, err)
 		}
 		if err == nil && (k.Text != text || fmt.Sprintf("%012x", k.Minted.UnixMilli()) != text[:8]+text[9:13]) {
-			t.Fatalf("%q is read as %v", text, k)
+			t.Fatalf("%q was parsed as %v", text, k)
 		}
 	})
 }
@@ -191,9 +191,9 @@
 	is.True(errorx.IsOfType(err, InvalidPlan))
 }
 
-// Any nodes that come and go reach a plan in which the living hold all slots, in
-// shares that differ by one at most.
-func TestSharesLevel(t *testing.T) {
+// TestSlotsAreBalanced checks that after any sequence of joining and leaving nodes, the remaining
+// nodes hold all slots, and their numbers of slots differ by at most one.
+func TestSlotsAreBalanced(t *testing.T) {
 	rules := Rules{Slots: 12, Margin: time.Second, KeyAge: time.Minute}
 	toggled := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), 1, 4)
 	rapid.Check(t, func(t *rapid.T) {
@@ -227,7 +227,7 @@
 	})
 }
 
-// benchLedger returns a ledger with records minted over the last ten minutes.
+// benchLedger returns a ledger with records of keys that were minted in the last ten minutes.
 func benchLedger(now time.Time, records int) *Ledger[[]byte] {
 	self := Node{Name: "a", Incarnation: "a1"}
 	rules := Rules{Slots: 12, Lease: time.Hour, Margin: time.Second, KeyAge: time.Hour}
@@ -258,7 +258,7 @@
 	}
 }
 
-// BenchmarkRecord reports the memory of one record without its answer.
+// BenchmarkRecord measures the memory of one record without an answer.
 func BenchmarkRecord(b *testing.B) {
 	const records = 500_000
 	heap := func() float64 {
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -9,7 +9,7 @@
 )
 
 type (
-	minute[A any] struct {
+	bucket[A any] struct {
 		records     map[uuid.UUID]*record[A]
 		answerBytes int64
 	}
@@ -32,15 +32,15 @@
 )
 
 const (
-	// recordBytes is the memory of one record without its answer.
+	// recordBytes is the memory charged for one record without its answer.
 	recordBytes = 192
 	minuteMS    = int64(time.Minute / time.Millisecond)
 )
 
-// Finish records the answer, of size bytes, of a key that ran to an end.
+// Finish records the answer, of the given size in bytes, of a key that ran to completion.
 func (l *Ledger[A]) Finish(now time.Time, k Key, answer A, size int) {
 	l.advance(now)
-	m, r := l.open(k)
+	m, r := l.lookup(k)
 	if r == nil || r.state == done {
 		return
 	}
@@ -56,19 +56,19 @@
 	l.answerBytes += r.size
 }
 
-// Lost records that the key ran or may have run, with an unknown outcome. It
-// never runs again.
+// Lost records that the key ran or may have run, with an unknown outcome. The key never runs
+// again.
 func (l *Ledger[A]) Lost(now time.Time, k Key) {
 	l.advance(now)
-	if _, r := l.open(k); r != nil && r.state == running {
+	if _, r := l.lookup(k); r != nil && r.state == running {
 		r.state = unknown
 	}
 }
 
-// Abandon drops the record of a key that provably did not run. It may run again.
+// Abandon drops the record of a key that provably did not run. The key may run later.
 func (l *Ledger[A]) Abandon(now time.Time, k Key) {
 	l.advance(now)
-	m, r := l.open(k)
+	m, r := l.lookup(k)
 	if r == nil || r.state != running {
 		return
 	}
@@ -77,22 +77,22 @@
 	l.records--
 }
 
-// Forget drops the records of keys that are too old to be accepted anywhere.
-// The margins cover a successor's clock that is behind this one.
+// Forget drops the records of keys that are too old to be accepted by any node. The margins
+// allow for a successor whose clock is behind the local clock.
 func (l *Ledger[A]) Forget(now time.Time) {
 	now = l.advance(now)
 	oldestMS := now.Add(-l.rules.KeyAge - 2*l.rules.Margin).UnixMilli()
-	for number, m := range l.minutes {
+	for number, m := range l.buckets {
 		if (number+1)*minuteMS > oldestMS {
 			continue
 		}
 		l.records -= len(m.records)
 		l.answerBytes -= m.answerBytes
-		delete(l.minutes, number)
+		delete(l.buckets, number)
 	}
 }
 
-// Stats returns the ledger's gauges and counters.
+// Stats returns the current gauges and counters.
 func (l *Ledger[A]) Stats() Stats {
 	stats := l.stats
 	stats.Records = l.records
@@ -101,28 +101,29 @@
 }
 
 func (l *Ledger[A]) find(id uuid.UUID, k Key) *record[A] {
-	m, ok := l.minutes[minuteOf(k)]
+	m, ok := l.buckets[bucketOf(k)]
 	if !ok {
 		return nil
 	}
 	return m.records[id]
 }
 
-// open returns the key's record and its minute, or nil.
-func (l *Ledger[A]) open(k Key) (*minute[A], *record[A]) {
+// lookup returns the record of the key and the bucket of its minute. The record is nil if there
+// is none.
+func (l *Ledger[A]) lookup(k Key) (*bucket[A], *record[A]) {
 	id, err := uuid.Parse(k.Text)
 	if err != nil {
 		return nil, nil
 	}
-	return l.minutes[minuteOf(k)], l.find(id, k)
+	return l.buckets[bucketOf(k)], l.find(id, k)
 }
 
 func (l *Ledger[A]) insert(id uuid.UUID, k Key, r *record[A]) {
-	number := minuteOf(k)
-	m, ok := l.minutes[number]
+	number := bucketOf(k)
+	m, ok := l.buckets[number]
 	if !ok {
-		m = &minute[A]{records: make(map[uuid.UUID]*record[A])}
-		l.minutes[number] = m
+		m = &bucket[A]{records: make(map[uuid.UUID]*record[A])}
+		l.buckets[number] = m
 	}
 	m.records[id] = r
 	l.records++
@@ -132,9 +133,9 @@
 	return int64(l.records)*recordBytes + l.answerBytes
 }
 
-// makeRoom drops the answers of the oldest minutes until need more bytes fit,
-// and says whether they do. A repeat of a key whose answer was dropped gets an
-// unknown result; refusing new keys for as long as KeyAge would cost more.
+// makeRoom drops the answers of the oldest minutes until need more bytes fit into the memory
+// bound, and reports whether they fit. A repeated key whose answer was dropped gets an
+// unknown result. The alternative, rejecting new keys for up to KeyAge, would be worse.
 func (l *Ledger[A]) makeRoom(need int64) bool {
 	if int64(l.records)*recordBytes+need > l.maxBytes {
 		return false
@@ -146,9 +147,9 @@
 }
 
 func (l *Ledger[A]) dropOldestAnswers() {
-	var oldest *minute[A]
+	var oldest *bucket[A]
 	oldestNumber := int64(0)
-	for number, m := range l.minutes {
+	for number, m := range l.buckets {
 		if m.answerBytes > 0 && (oldest == nil || number < oldestNumber) {
 			oldest = m
 			oldestNumber = number
@@ -167,7 +168,7 @@
 	oldest.answerBytes = 0
 }
 
-// decide answers a key that is on record.
+// decide returns the verdict on a key that has a record.
 func (r *record[A]) decide(kind string, requestHash uint64) (Verdict, A, result.Code) {
 	var none A
 	if r.kind != kind || r.requestHash != requestHash {
@@ -183,6 +184,6 @@
 	}
 }
 
-func minuteOf(k Key) int64 {
+func bucketOf(k Key) int64 {
 	return k.Minted.UnixMilli() / minuteMS
 }
