--- a/internal/budget/bench_test.go
+++ b/internal/budget/bench_test.go
@@ -10,17 +10,17 @@
 
 const callsPerBatch = 10_000
 
-// busyCall is what one call costs the budgets: its loan goes out and comes back,
-// it completes, and a repeat is asked for.
-func busyCall(now time.Time, purse *Purse, allowance *Allowance) {
-	loan := purse.LendTo()
+// useBudgets performs the budget operations of one call: tokens are lent and returned, the call
+// completes, and a retry is requested.
+func useBudgets(now time.Time, pool *Purse, allowance *Allowance) {
+	loan := pool.LendTo()
 	loan.Return(loan.Tokens)
 	allowance.Completed(now)
 	allowance.TryRepeat(now)
 }
 
-// What an allowance holds does not grow with the calls before: it is a number
-// and a time, and keeps no list of completions.
+// TestAllowanceKeepsNoHistory checks that the memory of an allowance does not grow with the
+// number of calls, as it would with a list of completions.
 func TestAllowanceKeepsNoHistory(t *testing.T) {
 	is := is.New(t)
 	allowance, now := NewAllowance(0.1, 10), testStart
@@ -34,8 +34,8 @@
 	is.Equal(made, 0.0)
 }
 
-// BenchmarkCall shows the processor time of a call by the number of services
-// that calls go to in turn.
+// BenchmarkCall measures the processor time of the budget operations of one call, with calls
+// that go to a number of services in turn.
 func BenchmarkCall(b *testing.B) {
 	for _, services := range []int{4, 14, 27, 54} {
 		b.Run(strconv.Itoa(services), func(b *testing.B) {
@@ -45,11 +45,11 @@
 				names[i] = "service-" + strconv.Itoa(i)
 				allowances[names[i]] = NewAllowance(0.1, 10)
 			}
-			purse, now := &Purse{Tokens: 3}, testStart
+			pool, now := &Purse{Tokens: 3}, testStart
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(time.Millisecond)
-				busyCall(now, purse, allowances[names[i%services]])
+				useBudgets(now, pool, allowances[names[i%services]])
 			}
 		})
 	}
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,11 +1,12 @@
-// Package budget bounds how often work is repeated.
+// Package budget limits retries.
 //
-// Three bounds stand beside each other. A Purse holds the retry tokens of one
-// request; they are lent along the call chain and never created, so the
-// repeats of a request stay within a fixed total for any depth. An Allowance
-// ties the repeats towards one service to its recent completions, so that
-// requests which each have tokens do not multiply the load together. Backoff
-// and Worthwhile decide when a repeat is sent, and whether it can still help.
+// Several limits apply at the same time. Each request has a number of retry tokens, which are
+// lent along the call chain and never created, so the retries of a request stay within a fixed
+// total at any call depth. An Allowance limits the retries to one service to a share of the
+// recently completed calls to it, so that many requests that each have tokens do not multiply
+// the load together. A Window limits the retries that reach the targets of a service. A
+// Backoff determines when a retry is sent, and a check against the deadline determines
+// whether it is sent at all.
 package budget
 
 import (
@@ -14,50 +15,52 @@
 )
 
 const (
-	// allowanceMemory is the time constant with which saved repeats fade, and
-	// the time after which a missing one is there again.
-	allowanceMemory = 10 * time.Second
-	minJitter       = 0.5
+	// allowanceDecay is the time constant with which unused tokens of an Allowance
+	// decay, and the time in which one token is refilled when there is none.
+	allowanceDecay = 10 * time.Second
+	// minJitter is the smallest random factor of a delay.
+	minJitter = 0.5
 )
 
 type (
-	// Purse holds the retry tokens of one attempt or request at one node.
+	// Purse holds the retry tokens of one request or attempt at one node.
 	Purse struct {
-		// Tokens is how many repeats the holder may still make or lend.
+		// Tokens is the number of retries that the holder may still make or lend.
 		Tokens int
 
 		outstanding int
 	}
 
-	// Loan is what was lent with one attempt. It takes in one answer.
+	// Loan is the number of tokens that were lent with one attempt. It ends with the
+	// first answer.
 	Loan struct {
-		// Tokens is what was lent, to be sent with the attempt.
+		// Tokens is the number of tokens to send with the attempt.
 		Tokens int
 
-		purse *Purse
-		ended bool
+		lender   *Purse
+		returned bool
 	}
 
-	// Allowance bounds the repeats towards one service to a share of its
-	// recent completions.
+	// Allowance limits the retries to one service to a share of the recently completed
+	// calls to it.
 	Allowance struct {
 		share float64
 		burst float64
-		// tokens is how many repeats may be made at the time at.
+		// tokens is the number of retries that are allowed at the time at.
 		tokens float64
 		at     time.Time
 	}
 
-	// Backoff spaces repeats with a jittered exponential delay.
+	// Backoff determines the delay of retries: exponential with jitter.
 	Backoff struct {
 		Base time.Duration
 		Max  time.Duration
-		// Random returns numbers in [0, 1).
+		// Random returns a random number in [0, 1).
 		Random func() float64
 	}
 )
 
-// Spend takes one token for a repeat and reports whether there was one.
+// Spend takes one token for a retry and reports whether there was one.
 func (p *Purse) Spend() bool {
 	if p.Tokens <= 0 {
 		return false
@@ -66,11 +69,12 @@
 	return true
 }
 
-// Lend takes out what is lent with an attempt: half, and the odd token too.
+// Lend takes out the tokens that are lent with an attempt, which are half of the tokens,
+// rounded up.
 //
-// A repeat further down redoes less work, which speaks for lending much. What
-// is lent comes back with the answer or not at all, which speaks for keeping
-// some: with 3 tokens the chain lends 2, then 1, then 1.
+// A retry further down the call chain repeats less work, which is a reason to lend many
+// tokens. Lent tokens come back with the answer or not at all, which is a reason to keep
+// some. With 3 tokens, the nodes of a chain lend 2, then 1, then 1.
 func (p *Purse) Lend() int {
 	lent := (max(p.Tokens, 0) + 1) / 2
 	p.Tokens -= lent
@@ -78,46 +82,46 @@
 	return lent
 }
 
-// Return puts back what an answer brought, never more than is lent out. It
-// trusts the caller to take in each answer once; LendTo checks that itself.
+// Return puts back n tokens that came back with an answer, but no more than are lent. The
+// caller must return the tokens of each answer only once; a Loan ensures this itself.
 func (p *Purse) Return(n int) {
 	n = min(max(n, 0), p.outstanding)
 	p.outstanding -= n
 	p.Tokens += n
 }
 
-// LendTo lends as Lend does and keeps account of the one attempt. With several
-// attempts out at a time, a duplicated answer of one cannot bring back the
-// tokens that another still holds.
+// LendTo lends the same number of tokens as Lend, and tracks those of the one attempt. With
+// several attempts in flight, a duplicate answer of one attempt cannot bring back the tokens
+// that another attempt still holds.
 func (p *Purse) LendTo() *Loan {
-	return &Loan{Tokens: p.Lend(), purse: p}
+	return &Loan{Tokens: p.Lend(), lender: p}
 }
 
-// Return ends the loan with what the answer brought back. Further answers of
-// the same attempt change nothing.
+// Return ends the loan and puts back n tokens that came back with the answer. Further answers
+// of the same attempt have no effect.
 func (l *Loan) Return(n int) {
-	if l.ended || l.purse == nil {
+	if l.returned || l.lender == nil {
 		return
 	}
-	l.ended = true
+	l.returned = true
 	n = min(max(n, 0), l.Tokens)
-	l.purse.Return(n)
-	l.purse.outstanding -= l.Tokens - n
+	l.lender.Return(n)
+	l.lender.outstanding -= l.Tokens - n
 }
 
-// NewAllowance returns an allowance that lets repeats add the share to the
-// completed calls, and up to burst repeats at once.
+// NewAllowance returns an allowance of share retries per completed call, with up to burst
+// retries at once.
 func NewAllowance(share float64, burst int) *Allowance {
 	return &Allowance{share: share, burst: float64(burst), tokens: float64(burst)}
 }
 
-// Completed takes in that a call to the service completed.
+// Completed records that a call to the service completed.
 func (a *Allowance) Completed(now time.Time) {
 	a.advance(now)
 	a.tokens = min(a.tokens+a.share, a.burst)
 }
 
-// TryRepeat takes one repeat from the allowance and reports whether it may be made.
+// TryRepeat takes one token for a retry from the allowance and reports whether there was one.
 func (a *Allowance) TryRepeat(now time.Time) bool {
 	a.advance(now)
 	if a.tokens < 1 {
@@ -127,9 +131,9 @@
 	return true
 }
 
-// advance lets saved tokens fade to one, and refills a missing one. A service
-// without recent completions thus keeps a single repeat now and then, enough
-// to find out that it is back, and no burst saved up in better times.
+// advance lets unused tokens decay to one, and refills up to one token. A service without
+// recent completions thus gets a single retry from time to time, which is enough to detect
+// its recovery, and keeps no burst from before its failure.
 func (a *Allowance) advance(now time.Time) {
 	elapsed := now.Sub(a.at)
 	if a.at.IsZero() || elapsed < 0 {
@@ -138,23 +142,23 @@
 	a.at = now
 	rest := min(1, a.burst)
 	if a.tokens <= rest {
-		a.tokens = min(rest, a.tokens+elapsed.Seconds()/allowanceMemory.Seconds())
+		a.tokens = min(rest, a.tokens+elapsed.Seconds()/allowanceDecay.Seconds())
 		return
 	}
-	a.tokens = rest + (a.tokens-rest)*math.Exp(-elapsed.Seconds()/allowanceMemory.Seconds())
+	a.tokens = rest + (a.tokens-rest)*math.Exp(-elapsed.Seconds()/allowanceDecay.Seconds())
 }
 
-// Delay returns how long to wait before the repeat, which counts from 1. The
-// delay doubles with each repeat up to Max and is then shortened at random by
-// up to half, so that repeats of one failure spread out.
-func (b Backoff) Delay(repeat int) time.Duration {
-	doubled := float64(b.Base) * math.Exp2(float64(max(repeat-1, 0)))
+// Delay returns the time to wait before a retry, whose number counts from 1. The delay doubles
+// with each retry up to Max and is then shortened at random by up to half, so that retries
+// after a common failure are spread out.
+func (b Backoff) Delay(retry int) time.Duration {
+	doubled := float64(b.Base) * math.Exp2(float64(max(retry-1, 0)))
 	delay := min(doubled, float64(b.Max))
 	return time.Duration(delay * (minJitter + (1-minJitter)*b.Random()))
 }
 
-// Worthwhile reports whether a repeat that is sent after the delay and takes
-// the expected time ends before the deadline.
+// Worthwhile reports whether a retry that is sent after the delay and takes the expected time
+// ends by the deadline.
 func Worthwhile(now, deadline time.Time, delay, expected time.Duration) bool {
 	return !now.Add(delay + expected).After(deadline)
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -13,36 +13,36 @@
 
 var testStart = time.Unix(1_000_000, 0)
 
-// tree is a random call tree that runs one request.
+// tree is the random call tree of one request.
 type tree struct {
-	random  func(label string) int // in 0..99
-	repeats int
-	// delayed holds answers that arrive late, repeated or out of order.
+	random  func(label string) int // returns a number in 0..99
+	retries int
+	// delayed holds answers that arrive late, twice or out of order.
 	delayed []func()
 }
 
-// serve handles a call with the tokens lent to it and returns what is left.
+// serve handles a call with the tokens lent to it and returns the number of tokens left.
 func (c *tree) serve(depth, tokens int) int {
-	purse := &Purse{Tokens: tokens}
+	pool := &Purse{Tokens: tokens}
 	if depth == 0 {
-		return purse.Tokens
+		return pool.Tokens
 	}
 	for range c.random("fan-out")%3 + 1 {
-		c.call(depth, purse)
+		c.call(depth, pool)
 	}
-	return purse.Tokens
+	return pool.Tokens
 }
 
-// call sends a call and repeats it while it fails and there are tokens.
-func (c *tree) call(depth int, purse *Purse) {
+// call sends a call and retries it while it fails and there are tokens.
+func (c *tree) call(depth int, pool *Purse) {
 	for {
-		loan := purse.LendTo()
+		loan := pool.LendTo()
 		left := c.serve(depth-1, loan.Tokens)
 		switch fate := c.random("fate"); {
-		case fate < 20: // the answer is lost, and the loan with it
+		case fate < 20: // the answer is lost, and the lent tokens with it
 		case fate < 40:
 			c.delayed = append(c.delayed, func() { loan.Return(left) })
-		case fate < 60: // the answer comes twice
+		case fate < 60: // the answer arrives twice
 			loan.Return(left)
 			c.delayed = append(c.delayed, func() { loan.Return(left) })
 		default:
@@ -52,15 +52,15 @@
 			at := c.random("which") % len(c.delayed)
 			c.delayed[at]()
 		}
-		if c.random("failure") < 25 || !purse.Spend() {
+		if c.random("failure") < 25 || !pool.Spend() {
 			return
 		}
-		c.repeats++
+		c.retries++
 	}
 }
 
-// TestRepeatsStayWithinTheBudget runs random call trees with lost, late,
-// duplicated and reordered answers.
+// TestRepeatsStayWithinTheBudget checks random call trees with lost, late, duplicate and
+// reordered answers: the retries of a request stay within its budget at any depth.
 func TestRepeatsStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := rapid.IntRange(0, 8).Draw(t, "budget")
@@ -70,16 +70,16 @@
 			calls := 0
 			c := &tree{random: func(label string) int {
 				if calls++; label == "fan-out" && calls > 2_000 {
-					return 0 // bounds the size of the tree
+					return 0 // limits the size of the tree
 				}
 				return random.IntN(100)
 			}}
 			left := c.serve(depth, budget)
-			if c.repeats > budget {
-				t.Fatalf("%d repeats with a budget of %d", c.repeats, budget)
+			if c.retries > budget {
+				t.Fatalf("%d repeats with a budget of %d", c.retries, budget)
 			}
-			if left+c.repeats > budget {
-				t.Fatalf("%d tokens left after %d repeats with a budget of %d", left, c.repeats, budget)
+			if left+c.retries > budget {
+				t.Fatalf("%d tokens left after %d repeats with a budget of %d", left, c.retries, budget)
 			}
 		}
 	})
@@ -87,60 +87,60 @@
 
 func TestLoanTakesInOneAnswer(t *testing.T) {
 	is := is.New(t)
-	purse := &Purse{Tokens: 5}
-	first := purse.LendTo()
+	pool := &Purse{Tokens: 5}
+	first := pool.LendTo()
 	is.Equal(first.Tokens, 3)
 	first.Return(2)
-	second := purse.LendTo()
+	second := pool.LendTo()
 	is.Equal(second.Tokens, 2)
-	first.Return(3) // a duplicate, while the second attempt holds its tokens
-	is.Equal(purse.Tokens, 2)
-	second.Return(9) // more than was lent
-	is.Equal(purse.Tokens, 4)
+	first.Return(3) // a duplicate answer, while the second attempt holds its tokens
+	is.Equal(pool.Tokens, 2)
+	second.Return(9) // more tokens than were lent
+	is.Equal(pool.Tokens, 4)
 }
 
 func TestReturnNeverExceedsWhatWasLent(t *testing.T) {
 	is := is.New(t)
-	purse := &Purse{Tokens: 3}
-	lent := purse.Lend()
-	purse.Return(lent + 5)
-	purse.Return(lent)
-	is.Equal(purse.Tokens, 3)
+	pool := &Purse{Tokens: 3}
+	lent := pool.Lend()
+	pool.Return(lent + 5)
+	pool.Return(lent)
+	is.Equal(pool.Tokens, 3)
 }
 
 func TestAllowanceFollowsCompletions(t *testing.T) {
 	is := is.New(t)
 	a := NewAllowance(0.1, 10)
 	now := testStart
-	repeats := 0
+	retries := 0
 	for range 10_000 {
 		now = now.Add(time.Millisecond)
 		a.Completed(now)
 		if a.TryRepeat(now) {
-			repeats++
+			retries++
 		}
 	}
-	is.True(repeats >= 900 && repeats <= 1000+10)
+	is.True(retries >= 900 && retries <= 1000+10)
 	for a.TryRepeat(now) {
-		repeats++
+		retries++
 	}
 	is.True(!a.TryRepeat(now.Add(time.Second)))
-	is.True(a.TryRepeat(now.Add(10 * allowanceMemory))) // enough to find out that the service is back
-	is.True(!a.TryRepeat(now.Add(10 * allowanceMemory)))
+	is.True(a.TryRepeat(now.Add(10 * allowanceDecay))) // enough to detect that the service has recovered
+	is.True(!a.TryRepeat(now.Add(10 * allowanceDecay)))
 }
 
 func TestBackoffGrowsWithinItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rapid.Float64Range(0, 0.999).Draw(t, "random")
-		repeat := rapid.IntRange(1, 100).Draw(t, "repeat")
+		retry := rapid.IntRange(1, 100).Draw(t, "repeat")
 		b := Backoff{Base: 10 * time.Millisecond, Max: time.Second, Random: func() float64 { return random }}
 		full := b.Base
-		for range repeat - 1 {
+		for range retry - 1 {
 			full = min(2*full, b.Max)
 		}
-		delay := b.Delay(repeat)
+		delay := b.Delay(retry)
 		if delay < full/2 || delay > full {
-			t.Fatalf("delay %v of at most %v", delay, full)
+			t.Fatalf("delay %v is not between half of %v and all of it", delay, full)
 		}
 	})
 }
--- a/internal/budget/window.go
+++ b/internal/budget/window.go
@@ -3,65 +3,66 @@
 import "time"
 
 type (
-	// Rule bounds the repeats that reach the targets of a service, as a share of
-	// the requests for it.
+	// Rule limits the retries that reach the targets of a service to a share of the
+	// requests for the service.
 	Rule struct {
-		// Share is the most repeats to a request, and Slack how many more there
-		// may be, in any Span.
+		// Share is the largest number of retries per request in any Span. Slack is
+		// the number of further retries allowed in the same Span.
 		Share float64
 		Slack float64
 		Span  time.Duration
-		// RunShare is the part of Share for repeats of calls that may have run.
-		// Each of these makes its own calls again, which count where they arrive.
+		// RunShare is the part of Share for retries of calls that may have run. Each
+		// of these retries makes its own calls again, which are counted where they
+		// arrive.
 		RunShare float64
-		// InnerPart is the part of the budget that repeats of calls made by targets
-		// may take where requests of callers need the rest. A repeated request of a
-		// caller is answered; a call that a target makes is one of several that
-		// must all succeed.
+		// InnerPart is the part of the budget that is available for retries of calls
+		// made by targets if requests of callers need the rest. The retry of a
+		// request of a caller completes the request, whereas a call made by a target
+		// is one of several that must all succeed.
 		InnerPart float64
 	}
 
-	// Repeat is a call that is to reach a target of the service once more.
+	// Repeat describes a retry of a call to a target of the service.
 	Repeat struct {
-		// Ran is set where an earlier attempt may have run.
+		// Ran is set if an earlier attempt may have run.
 		Ran bool
-		// Inner is set where a target makes the call, and not a caller.
+		// Inner is set if the call is made by a target rather than by a caller.
 		Inner bool
 	}
 
-	// Window is the part of a budget for repeats that one target's node keeps. All
-	// nodes share the budget: a node lets its target have the share of the requests
-	// that came to it, so that the sum over all nodes keeps to the rule without a
-	// word between them, whoever sends.
+	// Window enforces the part of a retry budget that belongs to the node of one target.
+	// Each node allows retries to its target as a share of the requests that reached this
+	// target, so that all nodes together keep to the rule of the service without
+	// communication, whichever nodes send the retries.
 	//
-	// The rule holds in spans that begin at any moment, and a repeat of now falls
-	// into many of them. So the rule that a node is given has to stay below three
-	// quarters of the one for all.
+	// The rule must hold in every span, whenever it begins, and one retry falls into many
+	// overlapping spans. The share given to a node must therefore be below three quarters
+	// of the share that applies to the service.
 	Window struct {
 		rule  Rule
 		slots [windowParts + 1]windowSlot
 		at    int64 // number of the newest slot
 	}
 
-	// windowSlot counts what was sent in one part of a span.
+	// windowSlot holds the counts of one part of a span.
 	windowSlot struct {
 		requests float64
-		direct   float64 // those of callers among the requests
-		repeats  float64
-		runs     float64
-		inner    float64 // those of targets' calls among the repeats
+		direct   float64 // requests made by callers
+		retries  float64
+		runs     float64 // retries of calls that may have run
+		inner    float64 // retries of calls made by targets
 	}
 )
 
-// windowParts is how many parts a span is counted in.
+// windowParts is the number of parts into which a span is divided for counting.
 const windowParts = 20
 
-// NewWindow returns a window without requests.
+// NewWindow returns a window that has counted no requests.
 func NewWindow(rule Rule) *Window {
 	return &Window{rule: rule}
 }
 
-// SetRule puts another rule in force.
+// SetRule replaces the rule. All counts are reset if the span changes.
 func (w *Window) SetRule(rule Rule) {
 	if rule.Span != w.rule.Span {
 		*w = Window{}
@@ -69,7 +70,7 @@
 	w.rule = rule
 }
 
-// Request counts a request for the service; inner is set where a target makes it.
+// Request counts a request for the service. inner is set if a target makes the request.
 func (w *Window) Request(now time.Time, inner bool) {
 	slot := w.slot(now)
 	slot.requests++
@@ -78,40 +79,42 @@
 	}
 }
 
-// Allows says whether a repeat may reach the target now.
-func (w *Window) Allows(now time.Time, repeat Repeat) bool {
+// Allows reports whether a retry may reach the target now.
+func (w *Window) Allows(now time.Time, retry Repeat) bool {
 	w.slot(now)
-	known, spent := w.known(), w.spent()
-	whole := w.rule.Share*known.requests + w.rule.Slack
+	received, spent := w.received(), w.spent()
+	limit := w.rule.Share*received.requests + w.rule.Slack
 	switch {
-	case spent.repeats+1 > whole:
+	case spent.retries+1 > limit:
 		return false
-	case repeat.Ran && spent.runs+1 > w.rule.RunShare*known.requests+w.rule.Slack:
+	case retry.Ran && spent.runs+1 > w.rule.RunShare*received.requests+w.rule.Slack:
 		return false
-	case repeat.Inner:
-		kept := min((1-w.rule.InnerPart)*whole, known.direct)
-		return spent.inner+1 <= whole-kept
+	case retry.Inner:
+		reserved := min((1-w.rule.InnerPart)*limit, received.direct)
+		return spent.inner+1 <= limit-reserved
 	}
 	return true
 }
 
-// TryRepeat takes one repeat from the budget, and reports whether there was one.
-func (w *Window) TryRepeat(now time.Time, repeat Repeat) bool {
-	if !w.Allows(now, repeat) {
+// TryRepeat counts a retry and returns true, or returns false if the budget does not allow the
+// retry.
+func (w *Window) TryRepeat(now time.Time, retry Repeat) bool {
+	if !w.Allows(now, retry) {
 		return false
 	}
 	slot := w.slot(now)
-	slot.repeats++
-	if repeat.Ran {
+	slot.retries++
+	if retry.Ran {
 		slot.runs++
 	}
-	if repeat.Inner {
+	if retry.Inner {
 		slot.inner++
 	}
 	return true
 }
 
-// slot returns the slot of the time, and clears those that have passed since.
+// slot returns the slot for the given time, and clears the slots between the newest one so far
+// and this one.
 func (w *Window) slot(now time.Time) *windowSlot {
 	number := now.UnixNano() / int64(w.rule.Span/windowParts)
 	size := int64(len(w.slots))
@@ -124,31 +127,31 @@
 	return &w.slots[w.at%size]
 }
 
-// back returns the slot that lies parts behind the newest.
-func (w *Window) back(parts int64) windowSlot {
+// slotBefore returns the slot that is the given number of parts before the newest.
+func (w *Window) slotBefore(parts int64) windowSlot {
 	size := int64(len(w.slots))
 	return w.slots[((w.at-parts)%size+size)%size]
 }
 
-// known sums up the requests of the last span. In whatever span a repeat of now is
-// counted, at least three quarters of these requests are counted with it: in that
-// span, the one before, or the one in between.
-func (w *Window) known() windowSlot {
+// received returns the sum of the requests in the last span. For every span that contains a
+// retry sent now, at least three quarters of these requests fall into one of three spans: that
+// span, the span before it, or the span halfway between the two.
+func (w *Window) received() windowSlot {
 	var sum windowSlot
 	for part := range int64(windowParts) {
-		slot := w.back(part)
+		slot := w.slotBefore(part)
 		sum.requests += slot.requests
 		sum.direct += slot.direct
 	}
 	return sum
 }
 
-// spent sums up the repeats of the last span and the part before it.
+// spent returns the sum of the retries in the last span and in the part before it.
 func (w *Window) spent() windowSlot {
 	var sum windowSlot
 	for part := range int64(windowParts + 1) {
-		slot := w.back(part)
-		sum.repeats += slot.repeats
+		slot := w.slotBefore(part)
+		sum.retries += slot.retries
 		sum.runs += slot.runs
 		sum.inner += slot.inner
 	}
--- a/internal/budget/window_test.go
+++ b/internal/budget/window_test.go
@@ -14,8 +14,9 @@
 
 var windowStart = time.Unix(1_800_000_000, 0)
 
-// TestNodesTogetherKeepToTheBudget lets nodes whose traffic moves alike repeat as
-// often as their windows allow, and adds up what arrives in every span.
+// TestNodesTogetherKeepToTheBudget checks that the retries of all nodes together stay within
+// the budget of the service in every span. The load of all nodes changes in the same way, and
+// every node retries as often as its window allows.
 func TestNodesTogetherKeepToTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const share, slack, ownPart = 0.2, 48.0, 0.7
@@ -26,7 +27,7 @@
 		}
 		const step = 250 * time.Millisecond
 		const steps = 160
-		var requests, repeats [steps]float64
+		var requests, retries [steps]float64
 		for i := range steps {
 			now := windowStart.Add(time.Duration(i) * step)
 			load := rapid.IntRange(0, 20).Draw(t, "load")
@@ -36,16 +37,16 @@
 					requests[i]++
 				}
 				for window.TryRepeat(now, budget.Repeat{Ran: rapid.Bool().Draw(t, "ran"), Inner: rapid.Bool().Draw(t, "inner")}) {
-					repeats[i]++
+					retries[i]++
 				}
 			}
 		}
 		const parts = int(windowSpan / step)
 		for end := parts; end <= steps; end++ {
-			spent := total(repeats[:], end-parts, end)
+			spent := total(retries[:], end-parts, end)
 			best := max(total(requests[:], end-parts, end), total(requests[:], end-3*parts/2, end-parts/2), total(requests[:], end-2*parts, end-parts))
 			if spent > share*best+slack {
-				t.Fatalf("%v repeats to %v requests in the span up to step %d", spent, best, end)
+				t.Fatalf("%v retries for %v requests in the span up to step %d", spent, best, end)
 			}
 		}
 	})
@@ -65,11 +66,11 @@
 	for range 1000 {
 		window.Request(windowStart, true)
 	}
-	repeats := 0
+	retries := 0
 	for window.TryRepeat(windowStart.Add(9*time.Second), budget.Repeat{}) {
-		repeats++
+		retries++
 	}
-	is.Equal(repeats, 200)
+	is.Equal(retries, 200)
 	is.True(!window.TryRepeat(windowStart.Add(11*time.Second), budget.Repeat{}))
 }
 
@@ -87,9 +88,9 @@
 	is.True(window.TryRepeat(windowStart, budget.Repeat{}))
 }
 
-// A service sheds half of what comes, with 50 requests of callers and 800 calls of
-// other targets a second, five of which must succeed together. Calls of targets
-// could use up every repeat; the requests of callers keep theirs.
+// TestRequestsOfCallersKeepTheirRepeats checks that calls made by targets cannot use up the
+// retries of requests of callers. The service receives 50 requests of callers and 800 calls of
+// other targets per second, five of which must succeed together, and sheds half of them.
 func TestRequestsOfCallersKeepTheirRepeats(t *testing.T) {
 	is := is.New(t)
 	window := budget.NewWindow(budget.Rule{Share: 0.14, Slack: 24, Span: windowSpan, InnerPart: 0.4})
