--- a/internal/beat/beat.go
+++ b/internal/beat/beat.go
@@ -1,110 +1,112 @@
-// Package beat knows which process of a target is there, by the heartbeats that
-// targets send to the node beside them.
+// Package beat tracks the current process of a target by the heartbeats that the target sends
+// to the node beside it.
 //
-// A target announces itself with an id for each of its processes. Heartbeats may
-// arrive late and out of order, also after their process has ended, so a Book
-// orders them by the start of the process and by their number. A process that has
-// said that it leaves gets no new work, whatever an earlier heartbeat of it says
-// later. Everything here is a pure decision: the time is passed in.
+// Each process of a target has its own id. Heartbeats may arrive late and out of order, even
+// after their process has ended, so they are ordered by the start time of the process and by
+// sequence number. A process that has announced its departure gets no new work, even if an
+// older heartbeat arrives afterwards that says otherwise. The package reads no clock: the time
+// is passed in.
 package beat
 
 import "time"
 
 type (
-	// State is what a target says of itself.
+	// State is the state that a target reports.
 	State uint8
 
-	// Verdict is what a Book makes of a heartbeat.
+	// Verdict is the effect of a heartbeat.
 	Verdict uint8
 
 	// Beat is one heartbeat.
 	Beat struct {
-		// ID names one process of the target.
+		// ID identifies one process of the target.
 		ID      string
 		Service string
 		Slots   int
 		State   State
-		// Warmup is how much longer the target is slow after its start.
+		// Warmup is the remaining time for which the target is slow after its start.
 		Warmup time.Duration
-		// Sequence rises with every heartbeat of a process.
+		// Sequence increases with every heartbeat of a process.
 		Sequence int64
-		// BornMS is the start of the process in Unix milliseconds, 0 if unknown.
+		// BornMS is the start time of the process in Unix milliseconds, or 0 if unknown.
 		BornMS int64
 	}
 
-	// Target is the process that a Book takes for the present one.
+	// Target is the current process of a target.
 	Target struct {
 		Beat
-		// Heard is when its last heartbeat arrived.
-		Heard time.Time
-		// Left is when it was first known to leave; zero while it does not.
+		// LastHeartbeat is the time at which its last heartbeat arrived.
+		LastHeartbeat time.Time
+		// Left is the time at which its departure first became known, or zero if it is
+		// not leaving.
 		Left time.Time
-		// ColdUntil is when its warmup ends.
+		// ColdUntil is the end of its warm-up.
 		ColdUntil time.Time
 	}
 
-	// Book holds what the heartbeats of one place have said. The zero value is
-	// ready for use.
+	// Book determines the current process of one target from its heartbeats. The zero
+	// value is ready for use.
 	Book struct {
-		current Target
-		known   bool
-		// ended holds the processes that were replaced or have gone, by id, with
-		// their start.
-		ended map[string]int64
-		order []string
+		current    Target
+		hasCurrent bool
+		// ended holds the start times of processes that were replaced or are gone, by
+		// id, and endedOrder holds their ids from oldest to newest.
+		ended      map[string]int64
+		endedOrder []string
 	}
 )
 
-// The states in the order of a process's life.
+// These are the states, in the order in which a process goes through them.
 const (
 	Ready State = iota
 	Draining
 	Gone
 )
 
-// The verdicts.
+// These are the verdicts on a heartbeat.
 const (
-	// Taken means that the heartbeat changed nothing but the time of the last sign.
+	// Taken means that the heartbeat changed nothing but the time of the last heartbeat.
 	Taken Verdict = iota
-	// Changed means that another process is there, or that the present one has
-	// another state, service or number of slots.
+	// Changed means that another process is now the current one, or that the current
+	// process has a different state, service or number of slots.
 	Changed
-	// Late means that the heartbeat was overtaken by what is known already.
+	// Late means that the heartbeat is older than what is already known, and is ignored.
 	Late
 )
 
-// keptEnded bounds how many ended processes are remembered.
-const keptEnded = 64
+// maxEnded is the largest number of ended processes that are remembered.
+const maxEnded = 64
 
 // String returns the state as it appears in logs.
 func (s State) String() string {
 	return [...]string{"ready", "draining", "gone", "unknown"}[s&3]
 }
 
-// Take takes in one heartbeat.
+// Take processes one heartbeat.
 func (b *Book) Take(now time.Time, beat Beat) Verdict {
-	if b.known && beat.ID == b.current.ID && beat.BornMS == b.current.BornMS {
-		return b.again(now, beat)
+	if b.hasCurrent && beat.ID == b.current.ID && beat.BornMS == b.current.BornMS {
+		return b.update(now, beat)
 	}
 	if b.superseded(beat) {
 		return Late
 	}
-	if b.known {
-		b.end(b.current.ID, b.current.BornMS)
+	if b.hasCurrent {
+		b.markEnded(b.current.ID, b.current.BornMS)
 	}
-	b.known = true
-	b.current = Target{Beat: beat, Heard: now, ColdUntil: now.Add(beat.Warmup)}
+	b.hasCurrent = true
+	b.current = Target{Beat: beat, LastHeartbeat: now, ColdUntil: now.Add(beat.Warmup)}
 	if beat.State != Ready {
 		b.current.Left = now
 	}
 	return Changed
 }
 
-// Depart takes in that a process says that it is gone, with its start where
-// it names that. It says whether that changes the present target.
+// Depart records that a process has announced that it is gone. bornMS is the start time of the
+// process, or 0 if the announcement does not contain it. Depart reports whether the current
+// target has changed.
 func (b *Book) Depart(now time.Time, id string, bornMS int64) bool {
-	if !b.known || b.current.ID != id || bornMS != 0 && bornMS < b.current.BornMS {
-		b.end(id, bornMS)
+	if !b.hasCurrent || b.current.ID != id || bornMS != 0 && bornMS < b.current.BornMS {
+		b.markEnded(id, bornMS)
 		return false
 	}
 	if b.current.State == Gone {
@@ -117,26 +119,27 @@
 	return true
 }
 
-// Target returns the present process, and false before any was heard.
+// Target returns the current process, or false before the first heartbeat.
 func (b *Book) Target() (Target, bool) {
-	return b.current, b.known
+	return b.current, b.hasCurrent
 }
 
-// again takes in a further heartbeat of the present process.
-func (b *Book) again(now time.Time, beat Beat) Verdict {
+// update processes a further heartbeat of the current process.
+func (b *Book) update(now time.Time, beat Beat) Verdict {
 	before := b.current
 	if beat.Sequence <= before.Sequence {
 		if beat.State <= before.State {
 			return Late
 		}
-		// What it says of its leaving holds, however late: it is confirmed.
+		// A departure counts however late its heartbeat arrives, because the node
+		// confirms it to the target.
 		late := beat.State
 		beat = before.Beat
 		beat.State = late
 	}
 	beat.State = max(beat.State, before.State)
 	b.current.Beat = beat
-	b.current.Heard = now
+	b.current.LastHeartbeat = now
 	if beat.State != Ready && before.Left.IsZero() {
 		b.current.Left = now
 	}
@@ -149,16 +152,16 @@
 	return Taken
 }
 
-// superseded says whether a heartbeat is of a process that has ended.
+// superseded reports whether a heartbeat comes from a process that has ended.
 func (b *Book) superseded(beat Beat) bool {
-	if b.known && beat.BornMS != 0 && b.current.BornMS != 0 && beat.BornMS != b.current.BornMS {
+	if b.hasCurrent && beat.BornMS != 0 && b.current.BornMS != 0 && beat.BornMS != b.current.BornMS {
 		return beat.BornMS < b.current.BornMS
 	}
 	born, ended := b.ended[beat.ID]
 	return ended && beat.BornMS <= born
 }
 
-func (b *Book) end(id string, bornMS int64) {
+func (b *Book) markEnded(id string, bornMS int64) {
 	if b.ended == nil {
 		b.ended = map[string]int64{}
 	}
@@ -167,9 +170,9 @@
 		return
 	}
 	b.ended[id] = bornMS
-	b.order = append(b.order, id)
-	if len(b.order) > keptEnded {
-		delete(b.ended, b.order[0])
-		b.order = b.order[1:]
+	b.endedOrder = append(b.endedOrder, id)
+	if len(b.endedOrder) > maxEnded {
+		delete(b.ended, b.endedOrder[0])
+		b.endedOrder = b.endedOrder[1:]
 	}
 }
--- a/internal/beat/beat_test.go
+++ b/internal/beat/beat_test.go
@@ -12,7 +12,7 @@
 	"github.com/dandelionfield/dandelionfield/internal/beat"
 )
 
-// TestScripts plays heartbeats from data files and prints the target after each.
+// TestScripts processes the heartbeats in the data files and prints the target after each.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var book beat.Book
