--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -113,13 +113,13 @@
 func ParseKey(text string) (Key, error) {
 	id, err := uuid.Parse(text)
 	if err != nil {
-		return Key{}, InvalidKey.New("idempotency key is not a UUID")
+		return Key{}, InvalidKey.New("not a uuid")
 	}
 	if id.Version() != 7 || id.Variant() != uuid.RFC4122 {
-		return Key{}, InvalidKey.New("idempotency key is not a UUID of version 7")
+		return Key{}, InvalidKey.New("not version 7")
 	}
 	if id.String() != text {
-		return Key{}, InvalidKey.New("idempotency key is not in canonical form")
+		return Key{}, InvalidKey.New("not in canonical form")
 	}
 	return keyOf(id), nil
 }
