--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,15 +1,17 @@
-// Package admit decides which calls a target takes on when there are more
-// than it can serve.
+// Package admit implements admission control: it decides which calls a target
+// serves when more arrive than it can complete.
 //
-// A Gate stands beside one target. It admits, queues or refuses each call and
-// measures how much the target completes. From that it derives a floor: the
-// order below which calls would be refused anyway. A Door stands at the entry
-// of a request. It knows the floors of the services along the request's call
-// chain and refuses there what would be refused further down, before any work
-// is spent on it.
+// A Gate belongs to one target. It admits, queues or rejects each call and
+// measures how many calls the target completes. From that it derives a floor:
+// the order below which calls would be rejected anyway. A Door belongs to the
+// entry node of a request. It knows the floors of the services along the
+// request's call chain and rejects at the entry what would be rejected
+// downstream, before any work is spent on it. A Throttle limits the share of
+// each kind of request that an entry node admits, by the pressure on the
+// services that the kind calls.
 //
-// Everything here is a pure decision: the caller passes in the time and
-// carries out what is returned. Nothing is safe for concurrent use.
+// The package has no clock and performs no I/O: the caller passes in the time
+// and carries out the decisions. No type is safe for concurrent use.
 package admit
 
 import (
@@ -22,18 +24,18 @@
 )
 
 const (
-	// PositionTurn is how long an id keeps its position.
-	PositionTurn = 5 * time.Minute
+	// PositionPeriod is how long a request id keeps its position.
+	PositionPeriod = 5 * time.Minute
 
-	positions      = 1 << 16
-	importances    = 4
-	positionStride = 40503 // positions/golden ratio, so that turns spread evenly
+	positionCount   = 1 << 16
+	importanceCount = 4
+	positionStride  = 40503 // positionCount/golden ratio, which spreads successive shifts evenly
 )
 
-// Verdict is what becomes of a call that was offered to a gate.
+// Verdict is a gate's decision on a call.
 type Verdict uint8
 
-// Outcome is how an admitted call ended.
+// Outcome is how an admitted call ended at the target.
 type Outcome uint8
 
 // The verdicts.
@@ -47,67 +49,69 @@
 const (
 	// Completed means that the target answered.
 	Completed Outcome = iota
-	// Shed means that the target refused the call itself.
+	// Shed means that the target itself rejected the call.
 	Shed
-	// Failed means that the target answered that it failed.
+	// Failed means that the target answered with a failure.
 	Failed
 	// TimedOut means that the call's deadline passed at the target.
 	TimedOut
-	// Abandoned means that the caller went away and the call was cancelled.
+	// Abandoned means that the caller disconnected and the call was cancelled.
 	Abandoned
 )
 
 type (
-	// Call is a call that asks for a slot of the target.
+	// Call is a call that needs one of the target's slots.
 	Call struct {
 		// ID is unique among the calls that are queued or in flight.
 		ID string
-		// Kind separates estimates of the service time. Calls of an empty
+		// Kind selects the estimate of the service time. Calls with an empty
 		// kind share one estimate.
 		Kind       string
 		Importance schema.Importance
 		Position   uint16
 		Deadline   time.Time
-		// First is set on the first attempt of a call. Of a call that another target
-		// refused before it was sent, that target's gate has taken note.
+		// First is set on the first attempt of a call. Only first attempts count
+		// towards the offered load: a call that another target rejected before it
+		// was sent has been counted by that target's gate.
 		First bool
-		// Waits reports whether the target waits for calls that it made for
-		// this one. Nil stands for a kind that makes none.
+		// Waits reports whether the target is waiting for downstream calls that
+		// it made on behalf of this one. It is nil for a kind that makes none.
 		Waits func() bool
 	}
 
-	// Settings is what a gate needs to know of its target.
+	// Settings describes a target to its gate.
 	Settings struct {
-		// Slots is how many calls the target works on at the same time.
+		// Slots is how many calls the target serves concurrently.
 		Slots int
-		// Queue is how many calls may wait.
+		// Queue is how many calls may be queued.
 		Queue int
-		// QueueWait is how long a call may wait.
+		// QueueWait is how long a call may be queued.
 		QueueWait time.Duration
 		// ColdStart is the time after Started over which the limit rises to Slots.
 		ColdStart time.Duration
 		Started   time.Time
-		// Opaque is set where it is not seen which calls the target makes for
-		// which call. Silence and failures may be due to those then, and say
-		// nothing of the target; a shed does only near the slots that it announced.
+		// Opaque is set if the node cannot tell on behalf of which call the target
+		// makes its own calls. Silence and failures may then come from downstream
+		// and do not count against the target, and a shed counts only near the
+		// number of slots that the target announced.
 		Opaque bool
 	}
 
-	// Decision is the answer to an offered call.
+	// Decision is a gate's answer to an offered call.
 	Decision struct {
 		Verdict Verdict
-		// Code says why the call was refused; it is 0 otherwise.
+		// Code says why the call was rejected; it is 0 otherwise.
 		Code result.Code
-		// Released holds queued calls whose fate the offer has settled.
+		// Released holds the queued calls that the offer admitted or rejected.
 		Released []Release
 	}
 
-	// Release is the fate of a call that was queued.
+	// Release is the decision on a call that was queued.
 	Release struct {
 		ID string
 		// Verdict is Admitted or Refused.
 		Verdict Verdict
-		// Code says why the call was refused; it is 0 otherwise.
+		// Code says why the call was rejected; it is 0 otherwise.
 		Code result.Code
 	}
 
@@ -116,30 +120,33 @@
 		InFlight int
 		Limit    int
 		Queued   int
-		// Offered is how many slots the calls that arrive would keep in use if all
+		// Offered is how many slots the arriving calls would occupy if all of them
 		// were served.
 		Offered float64
-		Cold    bool
-		// Stopped is how long the target has been known to have stopped, and 0
-		// while it works.
+		// Cold is set while the limit still rises after a cold start.
+		Cold bool
+		// Stopped is how long the target has been considered stopped, and 0 while
+		// it works.
 		Stopped time.Duration
 	}
 )
 
-// Order places a request in the order of refusal; the lowest is refused first.
+// Order returns the rank by which requests are admitted: under overload, the lowest order
+// is rejected first. Importance counts first, and position among requests of equal
+// importance.
 func Order(importance schema.Importance, position uint16) uint32 {
-	return uint32(importance)*positions + uint32(position)
+	return uint32(importance)*positionCount + uint32(position)
 }
 
-// Position hashes a request id to its place within its importance.
+// Position hashes a request id to a position within its importance.
 //
-// The place shifts every PositionTurn, so that a request which is repeated
-// under the same id is not refused for ever. The entry node takes the position
-// once and passes it on; a shift while a request runs therefore never gives
-// its calls different positions.
+// The position shifts every PositionPeriod, so that a request that is retried under
+// the same id is not rejected for ever. The entry node computes the position once and
+// passes it on, so a shift while a request is in flight does not give its calls
+// different positions.
 func Position(requestID string, now time.Time) uint16 {
-	turn := now.Unix() / int64(PositionTurn/time.Second)
-	return uint16(xxhash.Sum64String(requestID)>>48) + uint16(turn*positionStride)
+	period := now.Unix() / int64(PositionPeriod/time.Second)
+	return uint16(xxhash.Sum64String(requestID)>>48) + uint16(period*positionStride)
 }
 
 // String returns the verdict in lower case.
--- a/internal/admit/bench_test.go
+++ b/internal/admit/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// BenchmarkGate measures one offered and one ended call while all slots are
-// taken and the queue is full, or the queue is empty (queue=0).
+// BenchmarkGate measures one Offer and one Done while all slots are in use and the queue
+// is full, or while there is no queue (queue=0).
 func BenchmarkGate(b *testing.B) {
 	for _, queue := range []int{0, 60, 240, 960} {
 		b.Run(fmt.Sprintf("queue=%d", queue), func(b *testing.B) {
--- a/internal/admit/demand.go
+++ b/internal/admit/demand.go
@@ -9,83 +9,88 @@
 )
 
 const (
-	// minMemory and maxMemory bound how far back calls count. In between the
-	// memory holds about steadyCalls: fewer would make the floor follow chance.
-	minMemory   = 500 * time.Millisecond
-	maxMemory   = 2 * time.Second
-	steadyCalls = 60
-	// floorDelay is how long calls keep arriving that passed a door before
+	// minTimeConstant and maxTimeConstant bound the time constant with which arrivals
+	// decay. Within the bounds it is chosen so that about sampleCalls calls count; with
+	// fewer, the floor would follow random fluctuations.
+	minTimeConstant = 500 * time.Millisecond
+	maxTimeConstant = 2 * time.Second
+	sampleCalls     = 60
+	// floorDelay is how long calls keep arriving that an entry node admitted before
 	// it learned of a new floor.
 	floorDelay = 300 * time.Millisecond
-	// priorExposure lets the estimate for an importance that is refused
-	// altogether fall to zero, so that the floor comes down and looks again.
+	// priorExposure lets the estimate for an importance that is rejected altogether
+	// fall to zero, so that the floor drops and its calls are admitted and counted again.
 	priorExposure = 3 * time.Millisecond
 )
 
 type (
-	// demand estimates how many calls a second are meant for the target,
-	// although the doors hold back those below the floor.
+	// demand estimates how many calls a second would reach the target if the entry
+	// nodes did not reject those below the floor.
 	//
-	// Positions are hashes, so the calls of one importance spread evenly over
-	// its positions. Counting only those above the floor and dividing by the
-	// share of positions that lie above it gives the whole demand. With a
-	// floor at three quarters of normal, say, 50 calls a second are seen and
-	// the demand is 50/(1/4) = 200.
+	// Positions are hashes, so the calls of one importance are spread evenly over
+	// its positions. The calls above the floor divided by the share of positions
+	// above the floor therefore give the total demand. For example, with a floor at
+	// three quarters of normal and 50 observed calls a second, the demand is
+	// 50/(1/4) = 200 calls a second.
 	demand struct {
-		arrivals [importances]float64
-		// exposure is the time that was watched, weighted by the share of
-		// positions that could be seen, in seconds.
-		exposure [importances]float64
+		arrivals [importanceCount]float64
+		// exposure is the observed time in seconds, weighted by the share of
+		// positions above the floor at that time.
+		exposure [importanceCount]float64
 		at       time.Time
-		// recent holds the floors that doors may still apply, with the time
-		// of each announcement.
-		recent []announced
+		// recentFloors holds the floors that entry nodes may still apply, in the order
+		// in which they were announced.
+		recentFloors []announcedFloor
 	}
 
-	announced struct {
+	// announcedFloor is a floor with the time until which entry nodes may apply it after
+	// another one has replaced it.
+	announcedFloor struct {
 		floor uint32
 		until time.Time
 	}
 )
 
-// newDemand starts out as after a long time without calls.
+// newDemand returns an estimate in the state that a long time without calls leaves.
 func newDemand() demand {
 	var d demand
 	for i := range d.exposure {
-		d.exposure[i] = minMemory.Seconds()
+		d.exposure[i] = minTimeConstant.Seconds()
 	}
 	return d
 }
 
-// announce records that doors learn of the floor from now on.
+// announce records that entry nodes receive the floor from now on.
 func (d *demand) announce(now time.Time, floor uint32) {
 	d.advance(now)
-	d.recent = slices.DeleteFunc(d.recent, func(a announced) bool {
+	d.recentFloors = slices.DeleteFunc(d.recentFloors, func(a announcedFloor) bool {
 		return !a.until.After(now) || a.floor <= floor
 	})
-	d.recent = append(d.recent, announced{floor: floor, until: now.Add(floorDelay)})
+	d.recentFloors = append(d.recentFloors, announcedFloor{floor: floor, until: now.Add(floorDelay)})
 }
 
-// highest returns the highest floor that a door may still apply. The last
-// floor counts until it is replaced.
-func (d *demand) highest(now time.Time) uint32 {
+// highestFloor returns the highest floor that an entry node may still apply. The last
+// announced floor applies until it is replaced.
+func (d *demand) highestFloor(now time.Time) uint32 {
 	floor := uint32(0)
-	for i, a := range d.recent {
-		if i == len(d.recent)-1 || a.until.After(now) {
+	for i, a := range d.recentFloors {
+		if i == len(d.recentFloors)-1 || a.until.After(now) {
 			floor = max(floor, a.floor)
 		}
 	}
 	return floor
 }
 
-// observe counts an offered call.
+// observe counts an offered call unless an entry node may be rejecting calls of its
+// order.
 func (d *demand) observe(now time.Time, order uint32) {
 	d.advance(now)
-	if order >= d.highest(now) {
-		d.arrivals[min(order/positions, importances-1)]++
+	if order >= d.highestFloor(now) {
+		d.arrivals[min(order/positionCount, importanceCount-1)]++
 	}
 }
 
+// advance decays the counts and adds the elapsed time to the exposure.
 func (d *demand) advance(now time.Time) {
 	elapsed := now.Sub(d.at)
 	if d.at.IsZero() {
@@ -95,42 +100,42 @@
 		return
 	}
 	d.at = now
-	memory := d.memory()
-	keep := math.Exp(-elapsed.Seconds() / memory)
-	watched := memory * (1 - keep)
-	floor := d.highest(now)
+	timeConstant := d.timeConstant()
+	decay := math.Exp(-elapsed.Seconds() / timeConstant)
+	observed := timeConstant * (1 - decay)
+	floor := d.highestFloor(now)
 	for i := range d.arrivals {
-		d.arrivals[i] *= keep
-		d.exposure[i] = d.exposure[i]*keep + watched*shareAbove(floor, schema.Importance(i))
+		d.arrivals[i] *= decay
+		d.exposure[i] = d.exposure[i]*decay + observed*shareAbove(floor, schema.Importance(i))
 	}
 }
 
-// memory returns the time constant, in seconds, with which calls are forgotten.
-func (d *demand) memory() float64 {
+// timeConstant returns the time constant, in seconds, with which arrivals decay.
+func (d *demand) timeConstant() float64 {
 	counted := 0.0
 	for _, calls := range d.arrivals {
 		counted += calls
 	}
-	wanted := minMemory.Seconds() * steadyCalls / max(counted, 1)
-	return min(max(wanted, minMemory.Seconds()), maxMemory.Seconds())
+	wanted := minTimeConstant.Seconds() * sampleCalls / max(counted, 1)
+	return min(max(wanted, minTimeConstant.Seconds()), maxTimeConstant.Seconds())
 }
 
-// rate returns the estimated calls a second of an importance.
+// rate returns the estimated demand of an importance in calls a second.
 func (d *demand) rate(i schema.Importance) float64 {
 	return d.arrivals[i] / (d.exposure[i] + priorExposure.Seconds())
 }
 
-// floorFor returns the floor above which the demand is the given rate.
+// floorFor returns the floor at which the demand above the floor is the given rate.
 func (d *demand) floorFor(callsPerSecond float64) uint32 {
 	left := callsPerSecond
-	for i := importances - 1; i >= 0; i-- {
+	for i := importanceCount - 1; i >= 0; i-- {
 		rate := d.rate(schema.Importance(i))
 		if rate <= left {
 			left -= rate
 			continue
 		}
-		refused := positions * (1 - left/rate)
-		return Order(schema.Importance(i), uint16(min(refused, positions-1)))
+		refused := positionCount * (1 - left/rate)
+		return Order(schema.Importance(i), uint16(min(refused, positionCount-1)))
 	}
 	return 0
 }
@@ -141,8 +146,8 @@
 	switch {
 	case floor <= start:
 		return 1
-	case floor >= start+positions:
+	case floor >= start+positionCount:
 		return 0
 	}
-	return float64(start+positions-floor) / positions
+	return float64(start+positionCount-floor) / positionCount
 }
--- a/internal/admit/door.go
+++ b/internal/admit/door.go
@@ -6,20 +6,21 @@
 )
 
 const (
-	// levelFresh is how long a level counts in full.
-	levelFresh = 500 * time.Millisecond
-	// levelGone is the age at which a level counts no more. In between its
-	// floor comes down evenly: opening at one stroke would send a burst of
-	// everything that was held back.
-	levelGone = 1500 * time.Millisecond
+	// levelDecayStart is the age up to which a level applies in full.
+	levelDecayStart = 500 * time.Millisecond
+	// levelExpiry is the age from which a level no longer applies. Between levelDecayStart
+	// and levelExpiry its floor falls linearly: dropping it at once would release a
+	// burst of all the requests that it kept out.
+	levelExpiry = 1500 * time.Millisecond
 )
 
 type (
-	// Door is the entry node's knowledge of the floors of services.
+	// Door holds the floors of services as an entry node knows them.
 	Door struct {
-		levels map[string]map[string]heard
-		// combine makes one floor of those of a service's nodes, given in
-		// rising order.
+		// levels holds the last level by service and node.
+		levels map[string]map[string]floorSample
+		// combine reduces the floors of a service's nodes, sorted in ascending
+		// order, to one floor for the service.
 		combine func(sorted []uint32) uint32
 	}
 
@@ -32,37 +33,38 @@
 		Age time.Duration
 	}
 
-	heard struct {
+	// floorSample is a floor with the time at which its node measured it.
+	floorSample struct {
 		floor    uint32
 		measured time.Time
 	}
 )
 
-// NewDoor returns a door that lets everything through.
+// NewDoor returns a Door that allows every request until it learns of floors.
 func NewDoor() *Door {
-	return &Door{levels: map[string]map[string]heard{}, combine: lowerQuartile}
+	return &Door{levels: map[string]map[string]floorSample{}, combine: lowerQuartile}
 }
 
-// Learn takes in a level that was measured the given time ago. An older one
-// than is known already changes nothing.
+// Learn stores a floor that was measured the given time ago, unless a newer one of
+// the same node is stored already or it has expired.
 func (d *Door) Learn(now time.Time, service, node string, floor uint32, age time.Duration) {
-	if age >= levelGone {
+	if age >= levelExpiry {
 		return
 	}
 	measured := now.Add(-max(age, 0))
 	nodes := d.levels[service]
 	if nodes == nil {
-		nodes = map[string]heard{}
+		nodes = map[string]floorSample{}
 		d.levels[service] = nodes
 	}
 	if nodes[node].measured.After(measured) {
 		return
 	}
-	nodes[node] = heard{floor: floor, measured: measured}
+	nodes[node] = floorSample{floor: floor, measured: measured}
 }
 
-// Allows reports whether a request of the order passes the floors of all the
-// services, and otherwise which service refuses.
+// Allows reports whether the order is at or above the floors of all the services. If
+// not, it returns the first service whose floor is above the order.
 func (d *Door) Allows(now time.Time, services []string, order uint32) (string, bool) {
 	for _, service := range services {
 		if order < d.floor(now, service) {
@@ -72,7 +74,7 @@
 	return "", true
 }
 
-// Floors returns all levels that are known.
+// Floors returns all levels that have not expired.
 func (d *Door) Floors(now time.Time) []Level {
 	services := make([]string, 0, len(d.levels))
 	for service := range d.levels {
@@ -81,15 +83,15 @@
 	return d.FloorsOf(now, services)
 }
 
-// FloorsOf returns the levels of the services, for passing on with an answer
-// to a caller that can use just these.
+// FloorsOf returns the unexpired levels of the given services. It serves answers to
+// callers that can use no others. Expired levels are removed.
 func (d *Door) FloorsOf(now time.Time, services []string) []Level {
 	var levels []Level
 	for _, service := range services {
-		for node, h := range d.levels[service] {
-			age := now.Sub(h.measured)
-			if age < levelGone {
-				levels = append(levels, Level{Service: service, Node: node, Floor: h.floor, Age: age})
+		for node, sample := range d.levels[service] {
+			age := now.Sub(sample.measured)
+			if age < levelExpiry {
+				levels = append(levels, Level{Service: service, Node: node, Floor: sample.floor, Age: age})
 				continue
 			}
 			d.drop(service, node)
@@ -98,7 +100,7 @@
 	return levels
 }
 
-// Forget drops what is known of a node.
+// Forget removes the levels of a node.
 func (d *Door) Forget(node string) {
 	for service := range d.levels {
 		d.drop(service, node)
@@ -112,12 +114,12 @@
 	}
 }
 
-// floor returns the service's floor, 0 while nothing is known.
+// floor returns the service's floor, or 0 if no level of it is known.
 func (d *Door) floor(now time.Time, service string) uint32 {
 	floors := make([]uint32, 0, len(d.levels[service]))
 	for _, h := range d.levels[service] {
-		if age := now.Sub(h.measured); age < levelGone {
-			floors = append(floors, relaxed(h.floor, age))
+		if age := now.Sub(h.measured); age < levelExpiry {
+			floors = append(floors, decayedFloor(h.floor, age))
 		}
 	}
 	if len(floors) == 0 {
@@ -127,19 +129,19 @@
 	return d.combine(floors)
 }
 
-// lowerQuartile lets a request through while a quarter of the nodes would take
-// it: the choice of targets finds those, while the floor of a few slow nodes
-// says nothing about the others. The lowest floor would do for three nodes,
-// but over many it follows the error of a single one.
+// lowerQuartile returns the floor at the lower quartile, so that a request is allowed
+// while a quarter of the nodes would admit it. Load balancing finds those nodes, and
+// the floors of a few slow nodes say nothing about the others. The lowest floor would
+// do for three nodes, but with many it follows the estimation error of a single one.
 func lowerQuartile(sorted []uint32) uint32 {
 	return sorted[(len(sorted)-1)/4]
 }
 
-// relaxed returns what is left of a floor at the age.
-func relaxed(floor uint32, age time.Duration) uint32 {
-	if age <= levelFresh {
+// decayedFloor returns the floor as it applies at the given age of its level.
+func decayedFloor(floor uint32, age time.Duration) uint32 {
+	if age <= levelDecayStart {
 		return floor
 	}
-	left := float64(levelGone-age) / float64(levelGone-levelFresh)
+	left := float64(levelExpiry-age) / float64(levelExpiry-levelDecayStart)
 	return uint32(float64(floor) * max(left, 0))
 }
--- a/internal/admit/door_test.go
+++ b/internal/admit/door_test.go
@@ -24,13 +24,13 @@
 	d := NewDoor()
 	d.Learn(testStart, "stock", "a", 1000, 0)
 	previous := uint32(1000)
-	for age := time.Duration(0); age <= levelGone; age += 50 * time.Millisecond {
+	for age := time.Duration(0); age <= levelExpiry; age += 50 * time.Millisecond {
 		floor := d.floor(testStart.Add(age), "stock")
-		is.True(previous-floor <= 50) // comes down by degrees
+		is.True(previous-floor <= 50) // falls gradually
 		previous = floor
 	}
 	is.Equal(previous, uint32(0))
-	is.Equal(len(d.Floors(testStart.Add(levelGone))), 0)
+	is.Equal(len(d.Floors(testStart.Add(levelExpiry))), 0)
 	is.Equal(len(d.levels), 0)
 }
 
@@ -38,7 +38,7 @@
 	is := is.New(t)
 	d := NewDoor()
 	d.Learn(testStart, "stock", "a", 100, 100*time.Millisecond)
-	d.Learn(testStart, "stock", "a", 900, 200*time.Millisecond) // took a longer way
+	d.Learn(testStart, "stock", "a", 900, 200*time.Millisecond) // arrived late
 	is.Equal(d.Floors(testStart), []Level{{Service: "stock", Node: "a", Floor: 100, Age: 100 * time.Millisecond}})
 	d.Forget("a")
 	is.Equal(len(d.Floors(testStart)), 0)
--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -9,84 +9,93 @@
 
 const (
 	floorInterval = 50 * time.Millisecond
-	// queueGain is how far the door is opened beyond the capacity when the
-	// queue is empty, as a share.
+	// queueGain is the share by which the rate asked of the entry nodes exceeds the
+	// capacity when the queue is empty.
 	queueGain = 0.2
-	// noQueueMargin takes its place for a target without a queue.
-	noQueueMargin    = 0.05
-	minQueueFactor   = 0.5
-	minQueueSample   = 4
-	busyShare        = 0.9
-	reopenDoubling   = 250 * time.Millisecond
+	// noQueueMargin takes the place of queueGain for a target without a queue.
+	noQueueMargin  = 0.05
+	minQueueFactor = 0.5
+	// minQueueSample is how many calls must be queued for their median order to
+	// bound the floor.
+	minQueueSample = 4
+	// busyShare is the share of the limit in flight from which a target counts as busy.
+	busyShare = 0.9
+	// rateFactorDoubling is the time between updates of the floor that doubles or halves
+	// the rate asked of the entry nodes; a shorter time changes the rate by less.
+	rateFactorDoubling = 250 * time.Millisecond
+	// probeShare is the share of the limit that is admitted in spite of infeasible
+	// deadlines, to notice that the target has become fast again.
 	probeShare       = 0.1
 	minRatePerSecond = 2.0
-	// lateShedShare is the share of a kind's usual time after which a shed
-	// does not speak of the target's own slots any more.
+	// lateShedShare is the share of a kind's mean service time after which a shed
+	// says nothing about the target's own slots.
 	lateShedShare = 0.25
 )
 
 type (
-	// Gate decides which calls one target takes on.
+	// Gate decides which calls one target serves.
 	Gate struct {
-		settings Settings
-		limiter  limiter
-		demand   demand
-		times    times
-		offer    offer
-		queue    queue
-		pulse    pulse
-		running  map[string]runner
-		// startSum sums the starts of the running calls as time since epoch,
-		// which gives their mean age without a walk. Both are set anew
-		// whenever a call starts on an idle target.
+		settings     Settings
+		limiter      limiter
+		demand       demand
+		serviceTimes serviceTimes
+		offeredLoad  offeredLoad
+		queue        queue
+		liveness     liveness
+		running      map[string]runningCall
+		// startSum is the sum of the start times of the calls in flight, as
+		// durations since epoch. It gives their mean age without iterating over
+		// them. Both fields are reset whenever a call starts on an idle target.
 		startSum time.Duration
 		epoch    time.Time
 		floor    uint32
 		floorAt  time.Time
-		// reopen multiplies the rate that the door is asked for while the
-		// target has slots to spare in spite of a floor.
-		reopen float64
-		// offered and hopeless count the calls since the last floor, and
-		// those among them that could not end before their deadline.
-		offered  int
-		hopeless int
+		// rateFactor multiplies the rate asked of the entry nodes. It is above 1
+		// while the target has free slots in spite of a floor, and below 1 while
+		// most calls cannot meet their deadlines.
+		rateFactor float64
+		// offeredCalls counts the calls since the last update of the floor, and
+		// infeasibleCalls those of them that could not end before their deadline.
+		offeredCalls    int
+		infeasibleCalls int
 	}
 
-	runner struct {
-		kind    string
-		started time.Time
-		waits   func() bool
+	// runningCall is a call in flight at the target.
+	runningCall struct {
+		kind             string
+		started          time.Time
+		awaitsDownstream func() bool
 	}
 )
 
 // NewGate returns a gate for a target.
 func NewGate(s Settings) *Gate {
 	return &Gate{
-		settings: s,
-		limiter:  newLimiter(s),
-		demand:   newDemand(),
-		times:    newTimes(),
-		running:  map[string]runner{},
-		reopen:   1,
+		settings:     s,
+		limiter:      newLimiter(s),
+		demand:       newDemand(),
+		serviceTimes: newServiceTimes(),
+		running:      map[string]runningCall{},
+		rateFactor:   1,
 	}
 }
 
-// Offer decides on a call that has just arrived.
+// Offer decides on an arriving call.
 func (g *Gate) Offer(now time.Time, c Call) Decision {
 	g.demand.observe(now, Order(c.Importance, c.Position))
 	g.limiter.advance(now)
 	if c.First {
-		g.offer.take(now, g.times.expected(c.Kind))
+		g.offeredLoad.add(now, g.serviceTimes.expected(c.Kind))
 	}
 	if _, ok := g.running[c.ID]; ok {
 		return Decision{Code: result.RunningStill}
 	}
-	if g.barred() {
+	if g.rejectsAsStopped() {
 		return Decision{Code: result.TargetStopped}
 	}
-	g.offered++
-	if !g.worthwhile(now, c) {
-		g.hopeless++
+	g.offeredCalls++
+	if !g.feasible(now, c) {
+		g.infeasibleCalls++
 		return Decision{Code: result.DeadlinePassed}
 	}
 	if g.queue.len() == 0 && len(g.running) < g.limit(now) {
@@ -96,10 +105,10 @@
 	return g.enqueue(now, c)
 }
 
-// enqueue lets the call compete with the queued ones: for a slot that has
-// become free, and for a place in the queue.
+// enqueue adds the call to the queue, where it competes by order with the other
+// queued calls for free slots and for a place in the queue.
 func (g *Gate) enqueue(now time.Time, c Call) Decision {
-	g.queue.insert(waiter{call: c, order: Order(c.Importance, c.Position), arrived: now})
+	g.queue.insert(queuedCall{call: c, order: Order(c.Importance, c.Position), arrived: now})
 	d := Decision{Verdict: Queued}
 	for _, r := range append(g.fill(now), g.evict()...) {
 		switch {
@@ -115,7 +124,7 @@
 	return d
 }
 
-// Done frees the slot of an admitted call and returns the fate of queued ones.
+// Done frees the slot of an admitted call and returns the decisions on queued calls.
 func (g *Gate) Done(now time.Time, id string, o Outcome) []Release {
 	run, ok := g.running[id]
 	if !ok {
@@ -128,32 +137,33 @@
 	}
 	g.limiter.advance(now)
 	if o != Shed || !g.shedLate(run, now) {
-		g.limiter.ended(o, len(g.running))
+		g.limiter.recordOutcome(o, len(g.running))
 	}
 	if o != Shed {
 		cut := o == Abandoned || o == TimedOut
-		g.times.observe(run.kind, now.Sub(run.started), cut, g.limiter.current(now))
+		g.serviceTimes.observe(run.kind, now.Sub(run.started), cut, g.limiter.current(now))
 	}
 	return g.fill(now)
 }
 
-// shedLate reports whether a call was shed so late that the target had begun
-// with it. A target without a free slot sheds at once. One that makes calls of
-// its own passes on their refusal as a shed, which says nothing of its slots.
+// shedLate reports whether a call was shed so late that the target had begun to work
+// on it. A target without a free slot sheds at once, whereas a target that makes
+// downstream calls passes on their rejection as a shed, which says nothing about its
+// own slots.
 //
-// A renewal that usually takes 1.6 s looks up rounds and allowances for 1.2 s
-// and then learns that its charge is refused. Taking that for a shed would cut
-// the limit to the few renewals in flight beside it.
-func (g *Gate) shedLate(run runner, now time.Time) bool {
-	usual := g.times.leastExpected(run.kind)
-	return usual > 0 && now.Sub(run.started).Seconds() > lateShedShare*usual.Seconds()
+// For example, a renewal with a mean time of 1.6 s spends 1.2 s on look-ups before
+// its charge is rejected downstream. Treating this as a shed would cut the limit to
+// the few renewals that are in flight at that time.
+func (g *Gate) shedLate(run runningCall, now time.Time) bool {
+	estimate := g.serviceTimes.lowEstimate(run.kind)
+	return estimate > 0 && now.Sub(run.started).Seconds() > lateShedShare*estimate.Seconds()
 }
 
-// Tick re-evaluates the limit and the floor and returns the fate of queued
-// calls. It is meant to be called every 10 ms or so.
+// Tick updates the limit and the floor, checks the target's liveness and returns the
+// decisions on queued calls. It is to be called about every 10 ms.
 func (g *Gate) Tick(now time.Time) []Release {
 	g.limiter.advance(now)
-	released := g.checkPulse(now)
+	released := g.checkLiveness(now)
 	released = append(released, g.dropExpired(now)...)
 	released = append(released, g.fill(now)...)
 	released = append(released, g.evict()...)
@@ -163,44 +173,46 @@
 	return released
 }
 
-// Cancel takes out a queued call whose caller went away. An admitted call ends
-// through Done with Abandoned.
+// Cancel removes a queued call whose caller disconnected. For an admitted call, use
+// Done with Abandoned instead.
 func (g *Gate) Cancel(now time.Time, id string) []Release {
-	g.queue.remove(func(w waiter) bool { return w.call.ID == id })
+	g.queue.remove(func(w queuedCall) bool { return w.call.ID == id })
 	return g.fill(now)
 }
 
-// Floor returns the order below which the door is to refuse calls.
+// Floor returns the order below which entry nodes are to reject requests.
 func (g *Gate) Floor(_ time.Time) uint32 {
 	return g.floor
 }
 
-// Load returns the target's load.
+// Load returns the target's load. The offered load includes the slots needed to work
+// off the queue within queueDrainTime.
 func (g *Gate) Load(now time.Time) Load {
 	return Load{
 		InFlight: len(g.running),
 		Limit:    g.limit(now),
 		Queued:   g.queue.len(),
-		Offered:  g.offer.load(now) + float64(g.queue.len())*g.times.mean()/queueDrain.Seconds(),
+		Offered:  g.offeredLoad.load(now) + float64(g.queue.len())*g.serviceTimes.overallMean()/queueDrainTime.Seconds(),
 		Cold:     g.limiter.cold(now),
 		Stopped:  g.stoppedFor(now),
 	}
 }
 
-// limit returns how many calls may be in flight.
+// limit returns how many calls may be in flight. A stopped target gets one call at a
+// time, and a suspected one no more than are in flight already.
 func (g *Gate) limit(now time.Time) int {
 	limit := g.limiter.current(now)
 	switch {
-	case g.pulse.stopped:
+	case g.liveness.stopped:
 		return 1
-	case g.pulse.suspect:
+	case g.liveness.suspected:
 		return max(1, min(limit, len(g.running)))
 	}
 	return limit
 }
 
-// Resize takes on a new declaration. Calls in flight stay, and queued ones
-// beyond a smaller bound leave with the next Tick.
+// Resize applies changed settings and scales the limit with the slots. Calls in flight
+// stay, and queued calls beyond a smaller bound are evicted with the next Tick.
 func (g *Gate) Resize(now time.Time, s Settings) {
 	g.limiter.advance(now)
 	if g.settings.Slots > 0 {
@@ -208,7 +220,7 @@
 		g.limiter.limit *= scale
 		g.limiter.growth *= scale
 	} else {
-		// A gate made before its declaration was known starts anew.
+		// The gate was created before the target's slots were known.
 		g.limiter = newLimiter(s)
 		g.limiter.grownAt = now
 	}
@@ -216,20 +228,20 @@
 	g.limiter.settings = s
 }
 
-// Keep forgets what is known of kinds that are not declared.
+// Keep discards the service times of kinds that are no longer declared.
 func (g *Gate) Keep(declared func(kind string) bool) {
-	g.times.keep(declared)
+	g.serviceTimes.retain(declared)
 }
 
-// Restart takes on a new process of the target. What was learned of the former
-// one is forgotten; its calls that have not ended still count until they do.
+// Restart adapts the gate to a new process of the target. It discards what was measured
+// of the former process, whose calls in flight count until they end.
 func (g *Gate) Restart(now time.Time, s Settings) {
 	g.settings = s
 	g.limiter = newLimiter(s)
 	g.limiter.grownAt = now
-	g.times = newTimes()
-	g.pulse = pulse{signAt: now, lookedAt: now}
-	g.reopen = 1
+	g.serviceTimes = newServiceTimes()
+	g.liveness = liveness{lastActivity: now, lastCheck: now}
+	g.rateFactor = 1
 }
 
 func (g *Gate) start(now time.Time, c Call) {
@@ -237,12 +249,12 @@
 		g.epoch = now
 		g.startSum = 0
 	}
-	g.running[c.ID] = runner{kind: c.Kind, started: now, waits: c.Waits}
+	g.running[c.ID] = runningCall{kind: c.Kind, started: now, awaitsDownstream: c.Waits}
 	g.startSum += now.Sub(g.epoch)
 }
 
-// fill gives free slots to the queued calls of the highest order, and drops
-// those among them that come too late.
+// fill admits queued calls to free slots, the highest order first, and rejects those
+// among them that have expired.
 func (g *Gate) fill(now time.Time) []Release {
 	var released []Release
 	limit := g.limit(now)
@@ -258,11 +270,11 @@
 	return released
 }
 
-// dropExpired takes out all queued calls that come too late. It looks at the
-// whole queue, so it runs with each Tick rather than with each call.
+// dropExpired removes all expired calls from the queue. It scans the whole queue and
+// therefore runs on each Tick rather than on each call.
 func (g *Gate) dropExpired(now time.Time) []Release {
 	var released []Release
-	g.queue.remove(func(w waiter) bool {
+	g.queue.remove(func(w queuedCall) bool {
 		code := g.expired(now, w)
 		if code == 0 {
 			return false
@@ -273,11 +285,11 @@
 	return released
 }
 
-// expired returns why the queued call comes too late, or 0: it could not end
-// before its deadline any more, or it has waited too long.
-func (g *Gate) expired(now time.Time, w waiter) result.Code {
+// expired returns the code with which to reject a queued call that can no longer meet
+// its deadline or has been queued for too long, and 0 for any other call.
+func (g *Gate) expired(now time.Time, w queuedCall) result.Code {
 	switch {
-	case !g.worthwhile(now, w.call):
+	case !g.feasible(now, w.call):
 		return result.DeadlinePassed
 	case now.Sub(w.arrived) >= g.settings.QueueWait:
 		return result.QueueExpired
@@ -285,7 +297,7 @@
 	return 0
 }
 
-// evict takes out the calls of the lowest order that the queue has no room for.
+// evict removes calls beyond the bound of the queue, the lowest order first.
 func (g *Gate) evict() []Release {
 	var released []Release
 	for g.queue.len() > max(0, g.settings.Queue) {
@@ -295,11 +307,10 @@
 	return released
 }
 
-// worthwhile reports whether the call can end before its deadline if it
-// starts now. While few calls are in flight it gives the target the benefit
-// of the doubt, because only calls that run can show that it has become fast
-// again.
-func (g *Gate) worthwhile(now time.Time, c Call) bool {
+// feasible reports whether the call can end before its deadline if it starts now.
+// While few calls are in flight it ignores the estimated service time, because only
+// calls that run can show that the target has become fast again.
+func (g *Gate) feasible(now time.Time, c Call) bool {
 	left := c.Deadline.Sub(now)
 	if left <= 0 {
 		return false
@@ -307,15 +318,16 @@
 	if float64(len(g.running)) < max(1, probeShare*float64(g.limiter.current(now))) {
 		return true
 	}
-	return g.times.leastExpected(c.Kind) <= left
+	return g.serviceTimes.lowEstimate(c.Kind) <= left
 }
 
-// capacity returns the calls a second that the target completes with all its
-// slots in use, by Little's law. The mean age of the calls in flight shows
-// that a target has become slow before the first slow call ends. It returns
-// false while nothing is known.
+// capacity returns how many calls a second the target completes with as many calls in
+// flight as the limit allows, by Little's law. It uses the mean age of the calls in
+// flight if that exceeds the mean service time, which shows that a target has become
+// slow before the first slow call ends. The second result is false while no service
+// time is known.
 func (g *Gate) capacity(now time.Time) (float64, bool) {
-	mean := g.times.mean()
+	mean := g.serviceTimes.overallMean()
 	if len(g.running) > 0 {
 		age := now.Sub(g.epoch) - g.startSum/time.Duration(len(g.running))
 		mean = max(mean, age.Seconds())
@@ -326,8 +338,8 @@
 	return float64(g.limiter.current(now)) / mean, true
 }
 
-// updateFloor sets the floor so that the calls above it are what the target
-// completes, and a little more while its queue is short.
+// updateFloor sets the floor so that the demand above it matches what the target
+// completes, and slightly exceeds that while the queue is short.
 func (g *Gate) updateFloor(now time.Time) {
 	elapsed := now.Sub(g.floorAt)
 	g.floorAt = now
@@ -337,25 +349,27 @@
 		g.demand.announce(now, 0)
 		return
 	}
-	g.updateReopen(now, elapsed)
+	g.updateRateFactor(now, elapsed)
 	g.demand.advance(now)
-	wanted := max(capacity*g.queueFactor(capacity)*g.reopen, minRatePerSecond)
+	wanted := max(capacity*g.queueFactor(capacity)*g.rateFactor, minRatePerSecond)
 	g.floor = min(g.demand.floorFor(wanted), g.servedOrder())
 	g.demand.announce(now, g.floor)
 }
 
-// servedOrder returns the order above which calls are evidently served, as
-// the queue serves them first and yet holds lower ones. The floor need not
-// rise above it, even when chance makes the demand look greater.
+// servedOrder returns an upper bound for the floor: the median order in the queue.
+// Calls above the median are served first, so they do get served while lower ones are
+// still queued, and the floor need not exceed it even if a random fluctuation raises
+// the estimated demand.
 func (g *Gate) servedOrder() uint32 {
 	if g.queue.len() < minQueueSample {
 		return math.MaxUint32
 	}
-	return g.queue.middle()
+	return g.queue.medianOrder()
 }
 
-// queueFactor steers the queue to half of what the target works off within
-// the wait bound: full slots without calls that wait in vain.
+// queueFactor returns the factor on the rate asked of the entry nodes that keeps the
+// queue at half of its bound or, if less, of what the target works off within
+// QueueWait. This keeps the slots in use without queueing calls that expire.
 func (g *Gate) queueFactor(capacity float64) float64 {
 	if g.settings.Queue <= 0 {
 		return 1 + noQueueMargin
@@ -365,29 +379,29 @@
 	return max(1-queueGain*excess, minQueueFactor)
 }
 
-// updateReopen doubles the rate asked of the door again and again while slots
-// stay free behind a floor, and takes that back once they are in use. It
-// corrects any error of the estimates that would keep the door too narrow.
+// updateRateFactor raises the rate asked of the entry nodes exponentially while slots stay
+// free in spite of a floor, and lowers it again once the slots are in use. This corrects
+// errors of the estimates that would keep the floor too high.
 //
-// When the target has become too slow for the deadlines, slots are free
-// because most calls are hopeless. The rate then falls to what the gate admits
-// to see whether the target is fast again.
-func (g *Gate) updateReopen(now time.Time, elapsed time.Duration) {
+// If the target has become too slow for the deadlines, slots are free because most
+// calls cannot meet theirs. The factor then falls to probeShare, which is what the gate
+// admits in order to notice that the target has become fast again.
+func (g *Gate) updateRateFactor(now time.Time, elapsed time.Duration) {
 	busy := float64(len(g.running)) >= busyShare*float64(g.limiter.current(now))
-	hopeless := 2*g.hopeless > g.offered
-	unknown := g.reopen < 1 && g.offered == 0
-	g.offered = 0
-	g.hopeless = 0
-	step := 1 + min(elapsed.Seconds()/reopenDoubling.Seconds(), 1)
+	infeasible := 2*g.infeasibleCalls > g.offeredCalls
+	unknown := g.rateFactor < 1 && g.offeredCalls == 0
+	g.offeredCalls = 0
+	g.infeasibleCalls = 0
+	step := 1 + min(elapsed.Seconds()/rateFactorDoubling.Seconds(), 1)
 	switch {
 	case unknown:
-	case hopeless:
-		g.reopen = max(probeShare, g.reopen/step)
-	case g.reopen < 1:
-		g.reopen = min(1, g.reopen*step)
+	case infeasible:
+		g.rateFactor = max(probeShare, g.rateFactor/step)
+	case g.rateFactor < 1:
+		g.rateFactor = min(1, g.rateFactor*step)
 	case busy || g.floor == 0:
-		g.reopen = max(1, g.reopen/step)
+		g.rateFactor = max(1, g.rateFactor/step)
 	default:
-		g.reopen *= step
+		g.rateFactor *= step
 	}
 }
--- a/internal/admit/gate_test.go
+++ b/internal/admit/gate_test.go
@@ -102,14 +102,14 @@
 	})
 }
 
-// naiveGate keeps its queue as an unordered list and searches it each time.
+// naiveGate is a reference implementation that searches an unordered queue each time.
 type naiveGate struct {
 	slots, queue int
 	running      map[string]bool
-	waiting      []Call // in order of arrival
+	waiting      []Call // by arrival
 }
 
-// best returns the index of the call that is served next, the first of equals.
+// best returns the index of the call that is served next, the first among equals.
 func (n *naiveGate) best() int {
 	best := 0
 	for i, c := range n.waiting {
@@ -120,7 +120,7 @@
 	return best
 }
 
-// worst returns the index of the call that is evicted next, the last of equals.
+// worst returns the index of the call that is evicted next, the last among equals.
 func (n *naiveGate) worst() int {
 	worst := 0
 	for i, c := range n.waiting {
@@ -131,26 +131,26 @@
 	return worst
 }
 
-// settle returns the calls whose fate changes, with that fate.
+// settle admits and evicts queued calls and returns the verdicts by call id.
 func (n *naiveGate) settle() map[string]Verdict {
-	fates := map[string]Verdict{}
+	verdicts := map[string]Verdict{}
 	for len(n.waiting) > 0 && len(n.running) < n.slots {
 		i := n.best()
-		fates[n.waiting[i].ID] = Admitted
+		verdicts[n.waiting[i].ID] = Admitted
 		n.running[n.waiting[i].ID] = true
 		n.waiting = slices.Delete(n.waiting, i, i+1)
 	}
 	for len(n.waiting) > n.queue {
 		i := n.worst()
-		fates[n.waiting[i].ID] = Refused
+		verdicts[n.waiting[i].ID] = Refused
 		n.waiting = slices.Delete(n.waiting, i, i+1)
 	}
-	return fates
+	return verdicts
 }
 
-// TestGateAgainstNaive runs both gates side by side. As the naive one serves
-// and evicts by order alone, agreement means that no call is admitted in
-// preference to a higher one that is refused for load.
+// TestGateAgainstNaive compares the gate with a reference implementation. The reference
+// admits and evicts by order alone, so agreement means that no call is admitted while
+// one of higher order is rejected for load.
 func TestGateAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
@@ -160,7 +160,7 @@
 		now := testStart
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Millisecond)
-			fates := map[string]Verdict{}
+			verdicts := map[string]Verdict{}
 			if len(naive.running) > 0 && rapid.Bool().Draw(t, "done") {
 				ids := make([]string, 0, len(naive.running))
 				for id := range naive.running {
@@ -170,7 +170,7 @@
 				id := rapid.SampledFrom(ids).Draw(t, "id")
 				delete(naive.running, id)
 				for _, r := range gate.Done(now, id, Completed) {
-					fates[r.ID] = r.Verdict
+					verdicts[r.ID] = r.Verdict
 				}
 			} else {
 				c := Call{ID: fmt.Sprint(i), Deadline: now.Add(time.Hour)}
@@ -179,15 +179,15 @@
 				naive.waiting = append(naive.waiting, c)
 				d := gate.Offer(now, c)
 				for _, r := range d.Released {
-					fates[r.ID] = r.Verdict
+					verdicts[r.ID] = r.Verdict
 				}
 				if d.Verdict != Queued {
-					fates[c.ID] = d.Verdict
+					verdicts[c.ID] = d.Verdict
 				}
 			}
 			expected := naive.settle()
-			if fmt.Sprint(fates) != fmt.Sprint(expected) {
-				t.Fatalf("step %d: gate %v, naive %v", i, fates, expected)
+			if fmt.Sprint(verdicts) != fmt.Sprint(expected) {
+				t.Fatalf("step %d: gate %v, naive %v", i, verdicts, expected)
 			}
 			if gate.Load(now).InFlight > slots || gate.Load(now).Queued > queue {
 				t.Fatalf("step %d: bounds exceeded: %+v", i, gate.Load(now))
@@ -196,9 +196,10 @@
 	})
 }
 
-// TestHopelessServiceIsTriedAgain checks that calls get through to a target
-// whose measured time exceeds every deadline, and that it then recovers.
-func TestHopelessServiceIsTriedAgain(t *testing.T) {
+// TestInfeasibleTargetIsProbed checks that a target whose mean service time exceeds
+// every deadline still gets single calls, and that full admission resumes once it is
+// fast again.
+func TestInfeasibleTargetIsProbed(t *testing.T) {
 	is := is.New(t)
 	gate := NewGate(Settings{Slots: 10, Queue: 10, QueueWait: 100 * time.Millisecond})
 	now := testStart
@@ -214,11 +215,11 @@
 		return true
 	}
 	for range 50 {
-		is.True(run(time.Second, Abandoned)) // a lone call is always tried
+		is.True(run(time.Second, Abandoned)) // a single call is always admitted
 	}
 	is.Equal(gate.Offer(now, Call{ID: "b", Deadline: now.Add(100 * time.Millisecond)}).Verdict, Admitted)
 	d := gate.Offer(now, Call{ID: "c", Deadline: now.Add(100 * time.Millisecond)})
-	is.Equal(d.Code, result.DeadlinePassed) // hopeless while another is being tried
+	is.Equal(d.Code, result.DeadlinePassed) // cannot meet its deadline, and a probe is in flight
 	gate.Done(now.Add(10*time.Millisecond), "b", Completed)
 	for range 50 {
 		is.True(run(10*time.Millisecond, Completed))
@@ -227,28 +228,29 @@
 	is.Equal(gate.Offer(now, Call{ID: "e", Deadline: now.Add(100 * time.Millisecond)}).Verdict, Admitted)
 }
 
-func TestPositionTurns(t *testing.T) {
+func TestPositionShifts(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Position("a", testStart), Position("a", testStart.Add(time.Second)))
 	low := 0
-	for turn := range 100 {
-		if Position("a", testStart.Add(time.Duration(turn)*PositionTurn)) < positions/2 {
+	for period := range 100 {
+		if Position("a", testStart.Add(time.Duration(period)*PositionPeriod)) < positionCount/2 {
 			low++
 		}
 	}
-	is.True(low > 40 && low < 60) // neither refused nor let through for ever
+	is.True(low > 40 && low < 60) // neither rejected nor admitted for ever
 	is.True(Order(schema.High, 0) > Order(schema.Normal, 65535))
 }
 
-// TestPassedOnShedLeavesTheLimit lets the target shed when its own calls are
-// refused, which it learns after most of the usual time.
-func TestPassedOnShedLeavesTheLimit(t *testing.T) {
+// TestLateShedKeepsLimit guards against cutting the limit for a shed that the
+// target passes on after a downstream call was rejected. Such a shed arrives after most
+// of the mean service time, whereas a target without free slots sheds at once.
+func TestLateShedKeepsLimit(t *testing.T) {
 	for _, test := range []struct {
 		after time.Duration
 		limit int
 	}{
-		{5 * time.Millisecond, 4},     // beside four others: the target has no more slots
-		{1200 * time.Millisecond, 10}, // the refusal of a call that the target made
+		{5 * time.Millisecond, 4},     // four others in flight: the target has no more slots
+		{1200 * time.Millisecond, 10}, // passed on from a downstream call
 	} {
 		is := is.New(t)
 		gate := NewGate(Settings{Slots: 10})
--- a/internal/admit/kinds_test.go
+++ b/internal/admit/kinds_test.go
@@ -7,21 +7,21 @@
 	"github.com/matryer/is"
 )
 
-// What calls of a kind took and where they led is forgotten with its declaration, and
-// what is known of the others stays.
+// When a kind is no longer declared, its service times and downstream services are
+// discarded, and those of other kinds stay.
 func TestRemovedKindsAreForgotten(t *testing.T) {
 	is := is.New(t)
 	declared := func(kind string) bool { return kind == "stays" }
 	gate := NewGate(Settings{Slots: 4, Queue: 4, QueueWait: time.Second})
 	pressures := NewPressures()
 	for _, kind := range []string{"stays", "gone"} {
-		gate.times.observe(kind, time.Second, false, 4)
+		gate.serviceTimes.observe(kind, time.Second, false, 4)
 		pressures.Leads(time.Unix(0, 0), kind, "below")
 	}
 	gate.Keep(declared)
 	pressures.Keep(declared)
-	is.Equal(gate.times.usual("stays"), time.Second)
-	is.Equal(len(gate.times.byKind), 1)
+	is.Equal(gate.serviceTimes.kindMean("stays"), time.Second)
+	is.Equal(len(gate.serviceTimes.byKind), 1)
 	is.Equal(pressures.Below(time.Unix(0, 0), "stays"), []string{"below"})
-	is.Equal(len(pressures.leads), 1)
+	is.Equal(len(pressures.downstream), 1)
 }
--- a/internal/admit/limit.go
+++ b/internal/admit/limit.go
@@ -3,56 +3,60 @@
 import "time"
 
 const (
-	minLimitShare     = 0.1
-	outcomeWindow     = 500 * time.Millisecond
+	minLimitShare = 0.1 // of the slots
+	outcomeWindow = 500 * time.Millisecond
+	// collapseCut is the factor on the limit after a collapse, which is a window in
+	// which at least minCollapseLosses calls, and more than half of them all, were lost.
 	collapseCut       = 0.7
-	minCollapseEnds   = 5
+	minCollapseLosses = 5
 	growthDoubling    = time.Second
-	maxShedGrowth     = 0.04 // of the slots, per second, right after a shed
-	minShedGrowth     = 0.005
-	collapseGrowth    = 0.5 // of the slots, per second, right after a collapse
-	maxGrowthShare    = 1.0
-	coldStartingShare = 0.1
-	// nearSlots is the share of the slots in use above which a shed of an opaque
-	// target speaks of its slots.
-	nearSlots = 0.8
-	// spareShare is the share of the announced slots that stays free, and spareFrom
-	// the number of slots from which on that costs no more than that share.
-	spareShare = 0.06
-	spareFrom  = 17
+	maxShedGrowth     = 0.04  // of the slots, per second, right after a shed
+	minShedGrowth     = 0.005 // of the slots, per second, after repeated sheds
+	collapseGrowth    = 0.5   // of the slots, per second, right after a collapse
+	maxGrowthShare    = 1.0   // of the slots, per second
+	coldStartingShare = 0.1   // of the slots
+	// nearFullShare is the share of the slots in use from which a shed by an opaque target
+	// is attributed to its own slots.
+	nearFullShare = 0.8
+	// reservedShare is the share of the announced slots that stays free. Below
+	// reservedFromSlots slots all are used, because one free slot would be more than that
+	// share.
+	reservedShare     = 0.06
+	reservedFromSlots = 17
 )
 
-// Usable returns how many of the slots that a target announces are given work.
-// What it announces is the most that it holds; some targets work slower when they
-// are nearly full, all calls alike, so that the last slots cost more calls than
-// they carry.
+// Usable returns how many of the slots that a target announces are to be used. A target
+// announces the most calls that it can hold. Some targets serve all calls more slowly
+// when they are nearly full, so that using the last slots lowers their throughput.
 func Usable(slots int) int {
-	if slots < spareFrom {
+	if slots < reservedFromSlots {
 		return slots
 	}
-	return int(float64(slots) * (1 - spareShare))
+	return int(float64(slots) * (1 - reservedShare))
 }
 
-// limiter adapts the number of calls in flight to what the target takes.
+// limiter adapts the number of calls in flight to what the target accepts.
 //
-// A target that sheds has said how many it takes at the moment: those that
-// were in flight beside the shed call. The limit falls to that number and
-// rises again, slowly at first and ever faster with the time that passes
-// without a further cut. Each shed at the same number halves the rate at the
-// start, because every attempt to go beyond costs a call, of any importance.
+// A shed shows how many calls the target accepts at the moment: those in flight beside
+// the shed call. The limit falls to that number and then grows again, slowly at first
+// and exponentially faster as long as there is no further cut. Each further shed at the
+// same number halves the initial growth, because every attempt to exceed the number
+// costs a call, of whatever importance.
 type limiter struct {
 	settings Settings
 	limit    float64
 	growth   float64 // slots per second
 	grownAt  time.Time
-	// windowEnd closes the window over which outcomes are counted.
+	// windowEnd is the end of the window over which completed and lost are counted.
 	windowEnd time.Time
 	completed int
-	// shedAt is the number of calls in flight at the last shed, and
-	// shedGrowth the share of the slots by which the limit grew after it.
+	// shedAt is the number of calls in flight beside the last shed call, and
+	// shedGrowth the share of the slots per second by which the limit grew at first
+	// after it.
 	shedAt     int
 	shedGrowth float64
-	lost       int
+	// lost counts the calls that failed or timed out.
+	lost int
 }
 
 func newLimiter(s Settings) limiter {
@@ -64,13 +68,13 @@
 	}
 }
 
-// cold reports whether the target is still being ramped up.
+// cold reports whether the limit still rises after a cold start.
 func (l *limiter) cold(now time.Time) bool {
 	return now.Sub(l.settings.Started) < l.settings.ColdStart
 }
 
-// current returns the limit, always at least one: a call must get through for
-// the target to show that it has recovered.
+// current returns the limit. It is at least one, because only a call that is admitted
+// can show that the target has recovered.
 func (l *limiter) current(now time.Time) int {
 	limit := l.limit
 	if l.cold(now) {
@@ -80,9 +84,9 @@
 	return max(1, int(limit))
 }
 
-// ended counts the outcome of a call. others is the number of calls that
+// recordOutcome counts the outcome of a call. others is the number of calls that
 // remain in flight.
-func (l *limiter) ended(o Outcome, others int) {
+func (l *limiter) recordOutcome(o Outcome, others int) {
 	switch o {
 	case Completed:
 		l.completed++
@@ -96,7 +100,7 @@
 	}
 }
 
-// advance lets the limit grow and cuts it when most calls of a window were lost.
+// advance grows the limit, and cuts it if most calls of a window were lost.
 func (l *limiter) advance(now time.Time) {
 	elapsed := now.Sub(l.grownAt)
 	if l.grownAt.IsZero() || elapsed < 0 {
@@ -109,7 +113,7 @@
 	if now.Before(l.windowEnd) {
 		return
 	}
-	if l.lost >= minCollapseEnds && l.lost > l.completed {
+	if l.lost >= minCollapseLosses && l.lost > l.completed {
 		l.cut(l.limit*collapseCut, collapseGrowth)
 	}
 	l.windowEnd = now.Add(outcomeWindow)
@@ -117,12 +121,12 @@
 	l.lost = 0
 }
 
-// shed takes in that the target shed a call beside others in flight.
+// shed cuts the limit after the target shed a call with others in flight beside it.
 func (l *limiter) shed(others int) {
 	if float64(others) >= l.limit {
 		return
 	}
-	if l.settings.Opaque && float64(others) < nearSlots*float64(l.settings.Slots) {
+	if l.settings.Opaque && float64(others) < nearFullShare*float64(l.settings.Slots) {
 		return
 	}
 	same := others >= l.shedAt-1 && others <= l.shedAt+1
@@ -135,6 +139,7 @@
 	l.cut(float64(others), l.shedGrowth)
 }
 
+// cut sets the limit and its initial growth, as a share of the slots per second.
 func (l *limiter) cut(limit, growthShare float64) {
 	slots := float64(l.settings.Slots)
 	l.limit = max(limit, minLimitShare*slots, 1)
--- a/internal/admit/limit_test.go
+++ b/internal/admit/limit_test.go
@@ -9,9 +9,9 @@
 	"github.com/dandelionfield/dandelionfield/internal/admit"
 )
 
-// A target of 40 slots that works a third slower from 95% of them on completes more
-// calls a second when the last slots stay free, and one without such a knee hardly
-// fewer.
+// A target of 40 slots whose calls take a third longer from 95% of its slots on completes
+// more calls a second if the last slots stay free. A target without such a knee completes
+// hardly fewer.
 func TestLastSlotsCostMoreThanTheyCarry(t *testing.T) {
 	const slots = 40
 	const callTime = 40 * time.Millisecond
@@ -28,7 +28,7 @@
 	is.True(rate(usable, 1) >= 0.9*rate(slots, 1))
 }
 
-// A small target has no slot to spare.
+// All slots of a target with fewer than 17 are used.
 func TestSmallTargetsUseAllSlots(t *testing.T) {
 	is := is.New(t)
 	for _, slots := range []int{1, 4, 16} {
--- a/internal/admit/loop_test.go
+++ b/internal/admit/loop_test.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	hopTime   = time.Millisecond
-	faultFrom = 5 * time.Second
-	faultTo   = 15 * time.Second
-	loopEnd   = 20 * time.Second
-	sliceTime = 100 * time.Millisecond
-	replicas  = 3
+	hopTime       = time.Millisecond
+	faultFrom     = 5 * time.Second
+	faultTo       = 15 * time.Second
+	simulationEnd = 20 * time.Second
+	sliceTime     = 100 * time.Millisecond
+	replicas      = 3
 )
 
 type (
@@ -32,52 +32,52 @@
 		workTime time.Duration
 	}
 
-	// node is a target with its gate, and what the node knows as a caller.
+	// node is a target with its gate, and the state by which the node makes calls.
 	node struct {
 		name    string
 		gate    *Gate
 		door    *Door
-		table   *route.Table // of the next tier
+		table   *route.Table // targets of the next tier
 		waiting map[string]func(admitted bool)
 	}
 
 	request struct {
 		call    Call
 		arrived time.Duration
-		repeats int
+		retries int
 	}
 
-	// plan is one trial. The fault lasts from faultFrom to faultTo.
-	plan struct {
-		name        string
-		seed        uint64
-		base        float64 // requests a second outside of the fault
-		surge, slow float64 // factors during the fault on base and on the last tier's work time
-		slowed      int     // how many targets are slow, 0 for all
-		shedAt      int     // calls in flight at which the last tier sheds, 0 for never
-		repeats     int     // that callers make after a refusal
-		calls       int     // to the last tier, one after the other
-		split       bool    // each call takes a position of its own
-		hang        float64 // share of the last tier's calls that run into their deadline, during the fault
-		openDoor    bool
-		naive       bool // without door, order, deadlines and bound of the queue
-		exponential bool // work times
-		deadline    time.Duration
-		wait        time.Duration
+	// scenario configures one simulation. The fault lasts from faultFrom to faultTo.
+	scenario struct {
+		name            string
+		seed            uint64
+		base            float64 // requests a second outside of the fault
+		surge, slow     float64 // factors on base and on the last tier's work time during the fault
+		slowed          int     // number of slow targets, 0 for all
+		shedAt          int     // calls in flight at which the last tier sheds, 0 for never
+		retries         int     // retries by callers after a rejection
+		calls           int     // sequential calls to the last tier
+		positionPerCall bool    // each call has its own position
+		hangShare       float64 // share of the last tier's calls that time out during the fault
+		admitAll        bool    // the entry node admits all requests
+		naive           bool    // no rejection at the entry, no order, no deadlines, unbounded queues
+		exponential     bool    // exponentially distributed work times
+		deadline        time.Duration
+		wait            time.Duration
 	}
 
-	// loop runs a chain of services in virtual time.
-	loop struct {
-		plan               plan
+	// eventLoop is a simulation of a chain of services in virtual time.
+	eventLoop struct {
+		scenario           scenario
 		random             *rand.Rand
 		start, now         time.Time
 		events             eventHeap
 		nodes              [][]*node // by tier
 		entry              *node
-		offered, completed [loopEnd / sliceTime]float64                      // by arrival
-		kinds              [importances]struct{ offered, completed float64 } // that arrive during the fault
-		goodput            float64                                           // requests that complete during the fault
-		entered, refused   int                                               // past the door, and of these beside a target
+		offered, completed [simulationEnd / sliceTime]float64                    // requests by time of arrival
+		kinds              [importanceCount]struct{ offered, completed float64 } // requests that arrive during the fault
+		goodput            float64                                               // requests that complete during the fault
+		entered, refused   int                                                   // requests admitted at the entry, and calls rejected at a target
 	}
 )
 
@@ -91,8 +91,8 @@
 	return e
 }
 
-func newLoop(p plan) *loop {
-	l := &loop{plan: p, random: rand.New(rand.NewPCG(p.seed, 1)), start: time.Unix(1_000_000, 0)}
+func newEventLoop(p scenario) *eventLoop {
+	l := &eventLoop{scenario: p, random: rand.New(rand.NewPCG(p.seed, 1)), start: time.Unix(1_000_000, 0)}
 	l.now = l.start
 	l.entry = &node{name: "entry", door: NewDoor()}
 	callers := []*node{l.entry}
@@ -118,25 +118,25 @@
 	return l
 }
 
-func (l *loop) after(d time.Duration, run func()) {
+func (l *eventLoop) after(d time.Duration, run func()) {
 	heap.Push(&l.events, event{l.now.Add(d), run})
 }
 
-func (l *loop) since() time.Duration { return l.now.Sub(l.start) }
+func (l *eventLoop) since() time.Duration { return l.now.Sub(l.start) }
 
 func inFault(at time.Duration) bool { return at >= faultFrom && at < faultTo }
 
-func (l *loop) run() {
+func (l *eventLoop) run() {
 	l.after(0, func() { l.arrive(0) })
 	l.after(0, l.tick)
-	for l.since() < loopEnd+l.plan.deadline {
+	for l.since() < simulationEnd+l.scenario.deadline {
 		e := heap.Pop(&l.events).(event)
 		l.now = e.at
 		e.run()
 	}
 }
 
-func (l *loop) tick() {
+func (l *eventLoop) tick() {
 	for _, tier := range l.nodes {
 		for _, n := range tier {
 			n.settle(n.gate.Tick(l.now))
@@ -145,29 +145,29 @@
 	l.after(10*time.Millisecond, l.tick)
 }
 
-func (l *loop) arrive(number int) {
-	rate := l.plan.base
+func (l *eventLoop) arrive(number int) {
+	rate := l.scenario.base
 	if inFault(l.since()) {
-		rate *= l.plan.surge
+		rate *= l.scenario.surge
 	}
 	l.after(time.Duration(l.random.ExpFloat64()/rate*float64(time.Second)), func() { l.arrive(number + 1) })
 	importance := []schema.Importance{0, 0, 0, 1, 1, 1, 1, 1, schema.High, schema.Critical}[number%10]
 	id := fmt.Sprint(number)
-	call := Call{ID: id, Importance: importance, Position: Position(id, l.now), Deadline: l.now.Add(l.plan.deadline)}
+	call := Call{ID: id, Importance: importance, Position: Position(id, l.now), Deadline: l.now.Add(l.scenario.deadline)}
 	r := &request{call: call, arrived: l.since()}
 	if inFault(r.arrived) {
 		l.kinds[importance].offered++
 	}
-	if r.arrived < loopEnd {
+	if r.arrived < simulationEnd {
 		l.offered[r.arrived/sliceTime]++
 	}
 	l.enter(r)
 }
 
-func (l *loop) enter(r *request) {
+func (l *eventLoop) enter(r *request) {
 	services := []string{chain[0].name, chain[1].name, chain[2].name}
 	_, ok := l.entry.door.Allows(l.now, services, Order(r.call.Importance, r.call.Position))
-	if !ok && !l.plan.openDoor && !l.plan.naive {
+	if !ok && !l.scenario.admitAll && !l.scenario.naive {
 		l.ended(r, false)
 		return
 	}
@@ -175,10 +175,10 @@
 	l.send(l.entry, 0, r, func(ok bool) { l.ended(r, ok) })
 }
 
-func (l *loop) ended(r *request, ok bool) {
-	if !ok && r.repeats < l.plan.repeats {
+func (l *eventLoop) ended(r *request, ok bool) {
+	if !ok && r.retries < l.scenario.retries {
 		again := *r
-		again.repeats++
+		again.retries++
 		again.call.ID += "+"
 		l.after(time.Duration(50+l.random.IntN(100))*time.Millisecond, func() { l.enter(&again) })
 		return
@@ -192,13 +192,13 @@
 	if inFault(r.arrived) {
 		l.kinds[r.call.Importance].completed++
 	}
-	if r.arrived < loopEnd {
+	if r.arrived < simulationEnd {
 		l.completed[r.arrived/sliceTime]++
 	}
 }
 
-// send carries a call to a target of the tier, and the answer back.
-func (l *loop) send(from *node, tier int, r *request, reply func(ok bool)) {
+// send delivers a call to a target of the tier, and the answer to the caller.
+func (l *eventLoop) send(from *node, tier int, r *request, reply func(ok bool)) {
 	target, _ := from.table.Choose(l.now, nil)
 	at := 0
 	for l.nodes[tier][at].name != target.Name {
@@ -222,7 +222,7 @@
 	l.after(hopTime, func() { l.serve(to, tier, at, r, answer) })
 }
 
-func (l *loop) serve(n *node, tier, at int, r *request, answer func(route.Outcome)) {
+func (l *eventLoop) serve(n *node, tier, at int, r *request, answer func(route.Outcome)) {
 	n.waiting[r.call.ID] = func(admitted bool) {
 		if !admitted {
 			answer(route.Refused)
@@ -231,7 +231,7 @@
 		l.work(n, tier, at, r, answer)
 	}
 	call := r.call
-	if l.plan.naive {
+	if l.scenario.naive {
 		call = Call{ID: call.ID, Deadline: call.Deadline.Add(time.Hour)}
 	}
 	d := n.gate.Offer(l.now, call)
@@ -241,26 +241,26 @@
 	}
 }
 
-// settle tells waiting calls their fate.
+// settle passes the decisions on to the queued calls.
 func (n *node) settle(released []Release) {
 	for _, release := range released {
-		fate := n.waiting[release.ID]
+		notify := n.waiting[release.ID]
 		delete(n.waiting, release.ID)
-		fate(release.Verdict == Admitted)
+		notify(release.Verdict == Admitted)
 	}
 }
 
-func (l *loop) work(n *node, tier, at int, r *request, answer func(route.Outcome)) {
+func (l *eventLoop) work(n *node, tier, at int, r *request, answer func(route.Outcome)) {
 	last := tier == len(chain)-1
 	took := 0.5 + l.random.Float64()
-	if l.plan.exponential {
+	if l.scenario.exponential {
 		took = l.random.ExpFloat64()
 	}
-	if last && inFault(l.since()) && (l.plan.slowed == 0 || at < l.plan.slowed) {
-		took *= l.plan.slow
+	if last && inFault(l.since()) && (l.scenario.slowed == 0 || at < l.scenario.slowed) {
+		took *= l.scenario.slow
 	}
 	work := time.Duration(took * float64(chain[tier].workTime))
-	if last && inFault(l.since()) && l.random.Float64() < l.plan.hang {
+	if last && inFault(l.since()) && l.random.Float64() < l.scenario.hangShare {
 		work = time.Hour
 	}
 	done := func(outcome Outcome, answered route.Outcome) {
@@ -269,9 +269,9 @@
 	}
 	left := r.call.Deadline.Sub(l.now)
 	switch {
-	case last && l.plan.shedAt > 0 && len(n.gate.running) > l.plan.shedAt:
+	case last && l.scenario.shedAt > 0 && len(n.gate.running) > l.scenario.shedAt:
 		done(Shed, route.Refused)
-	case work > left && !l.plan.naive:
+	case work > left && !l.scenario.naive:
 		l.after(left, func() { done(TimedOut, route.Failed) })
 	case last:
 		l.after(work, func() { done(Completed, route.Complete) })
@@ -288,14 +288,14 @@
 	}
 }
 
-// call makes the calls to the next tier, one after the other.
-func (l *loop) call(n *node, tier int, r *request, number int, reply func(ok bool)) {
+// call makes the calls to the next tier sequentially.
+func (l *eventLoop) call(n *node, tier int, r *request, number int, reply func(ok bool)) {
 	own := *r
-	if l.plan.split {
+	if l.scenario.positionPerCall {
 		own.call.Position = uint16(l.random.Uint32())
 	}
 	l.send(n, tier+1, &own, func(ok bool) {
-		if ok && tier+2 == len(chain) && number < l.plan.calls {
+		if ok && tier+2 == len(chain) && number < l.scenario.calls {
 			l.call(n, tier, r, number+1, reply)
 			return
 		}
--- a/internal/admit/offer.go
+++ b/internal/admit/offer.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// offerMemory is the time constant with which arrivals are forgotten: long enough
-// for a few hundred calls at a busy target, of which chance makes a twentieth or so.
-const offerMemory = 400 * time.Millisecond
+// loadTimeConstant is the time constant with which arrivals decay. It spans a few hundred
+// calls at a busy target, for which the random error is about a twentieth.
+const loadTimeConstant = 400 * time.Millisecond
 
-// queueDrain is the time in which the calls that wait are to be worked off beside
-// those that arrive: where just as many arrive as can be served, a queue would stay
-// as long as it is, and each call of a chain would wait anew.
-const queueDrain = 300 * time.Millisecond
+// queueDrainTime is the time in which the queue is to be worked off in addition to the
+// arriving calls. If exactly as many calls arrived as can be served, the queue would
+// keep its length, and a request would be queued again for each call of its chain.
+const queueDrainTime = 300 * time.Millisecond
 
-// offer measures the load that is offered to a target: arrivals a second times the
-// time that each takes, which is how many slots all of them would keep in use.
+// offeredLoad measures the load offered to a target: the arrivals a second times the
+// service time of each, which is how many slots all of them would occupy.
 //
-// The length of a queue says too little of it. It is full or empty within a tenth of
-// a second, whether a few calls too many arrive or twice as many as can be served,
-// and so leaves open how much must be held back.
-type offer struct {
-	seconds float64
-	at      time.Time
+// The length of the queue is no substitute. The queue fills or empties within a tenth of
+// a second, whether the arrivals exceed the capacity slightly or by a factor of two, and
+// so does not show how much load must be rejected.
+type offeredLoad struct {
+	// slotSeconds is the decayed sum of the service times of the calls that arrived.
+	slotSeconds float64
+	at          time.Time
 }
 
-// take counts a call that would hold a slot for some seconds.
-func (o *offer) take(now time.Time, seconds float64) {
-	o.fade(now)
-	o.seconds += seconds
+// add counts a call that would occupy a slot for the given number of seconds.
+func (o *offeredLoad) add(now time.Time, seconds float64) {
+	o.decay(now)
+	o.slotSeconds += seconds
 }
 
-// load returns how many slots the calls of the last moments would keep in use.
-func (o *offer) load(now time.Time) float64 {
-	o.fade(now)
-	return o.seconds / offerMemory.Seconds()
+// load returns how many slots the recently arrived calls would occupy.
+func (o *offeredLoad) load(now time.Time) float64 {
+	o.decay(now)
+	return o.slotSeconds / loadTimeConstant.Seconds()
 }
 
-func (o *offer) fade(now time.Time) {
+func (o *offeredLoad) decay(now time.Time) {
 	if elapsed := now.Sub(o.at); elapsed > 0 {
-		o.seconds *= math.Exp(-elapsed.Seconds() / offerMemory.Seconds())
+		o.slotSeconds *= math.Exp(-elapsed.Seconds() / loadTimeConstant.Seconds())
 		o.at = now
 	}
 }
--- a/internal/admit/offer_test.go
+++ b/internal/admit/offer_test.go
@@ -10,8 +10,9 @@
 	"github.com/dandelionfield/dandelionfield/internal/admit"
 )
 
-// A gate of ten slots is offered 500 calls a second of 40 ms: twenty slots' worth,
-// whatever it takes on. A call that another target refused first is offered there.
+// A gate of ten slots is offered 500 calls a second of 40 ms each, which would occupy
+// twenty slots, however many it admits. A call that another target rejected first counts
+// towards the load offered to that target.
 func TestOfferedLoadIsWhatAllArrivalsWouldUse(t *testing.T) {
 	is := is.New(t)
 	gate := admit.NewGate(admit.Settings{Slots: 10, Queue: 5, QueueWait: 20 * time.Millisecond, Opaque: true})
@@ -42,5 +43,5 @@
 	offered := gate.Load(now).Offered
 	t.Logf("offered %.1f", offered)
 	is.True(offered > 18 && offered < 22)
-	is.True(gate.Load(now.Add(2*time.Second)).Offered < 1) // and nothing soon after
+	is.True(gate.Load(now.Add(2*time.Second)).Offered < 1) // decays to nothing soon after
 }
--- a/internal/admit/pressure.go
+++ b/internal/admit/pressure.go
@@ -8,101 +8,103 @@
 )
 
 const (
-	// leadFresh is how long an answer shows which services a kind leads to. It is
-	// longer than a surge after which next to none of the kind is let in.
-	leadFresh = 30 * time.Second
-	// tellAbove is the pressure from which a service is told of with answers, so that
-	// a calm system sends nothing. A service of which nothing is heard has room.
-	tellAbove = 0.8
-	// tellMost is of how many services an answer tells, the fullest first.
-	tellMost = 4
+	// downstreamExpiry is how long a kind counts as calling a service after an answer
+	// showed that it does. It outlasts surges during which hardly any request of the kind
+	// is admitted.
+	downstreamExpiry = 30 * time.Second
+	// minReportedPressure is the pressure from which a service is reported with answers,
+	// so that a lightly loaded system reports nothing. A service that is not reported
+	// counts as having spare capacity.
+	minReportedPressure = 0.8
+	// maxReports is how many services an answer reports, the highest pressure first.
+	maxReports = 4
 )
 
 type (
-	// Pressures is what a node knows of the pressure of services. It hears of it
-	// with the answers of any kind and tells others with its own, so that a node
-	// that lets in next to none of a kind still knows when there is room for it.
+	// Pressures holds the pressure of services as a node knows it. Nodes report it to
+	// each other with answers of every kind, so that a node that admits hardly any
+	// requests of a kind still learns when there is spare capacity for them.
 	Pressures struct {
-		heard map[string]measure
-		// leads holds which services a kind leads to below its own, and when an
-		// answer last showed it.
-		leads map[string]map[string]time.Time
+		samples map[string]pressureSample
+		// downstream holds by kind the services that are called downstream of the kind's
+		// own, with the time at which an answer last showed it.
+		downstream map[string]map[string]time.Time
 	}
 
-	// Heard is the pressure of a service as it was some time ago.
+	// Heard is a report of the pressure that a service had some time ago.
 	Heard struct {
 		Service  string
 		Pressure float64
 		Age      time.Duration
 	}
 
-	measure struct {
+	// pressureSample is the pressure of a service with the time at which it was measured.
+	pressureSample struct {
 		pressure float64
 		at       time.Time
 	}
 )
 
-// NewPressures returns the knowledge of a node that has heard nothing.
+// NewPressures returns the empty state of a node that has received no report.
 func NewPressures() *Pressures {
-	return &Pressures{heard: map[string]measure{}, leads: map[string]map[string]time.Time{}}
+	return &Pressures{samples: map[string]pressureSample{}, downstream: map[string]map[string]time.Time{}}
 }
 
-// Hear takes in the pressure of a service. An older one than is known changes
-// nothing.
+// Hear stores the reported pressure of a service unless a newer one is stored already.
 func (p *Pressures) Hear(now time.Time, heard Heard) {
 	at := now.Add(-max(heard.Age, 0))
-	if at.Before(p.heard[heard.Service].at) {
+	if at.Before(p.samples[heard.Service].at) {
 		return
 	}
-	p.heard[heard.Service] = measure{pressure: heard.Pressure, at: at}
+	p.samples[heard.Service] = pressureSample{pressure: heard.Pressure, at: at}
 }
 
-// Leads takes in that a kind leads to a service below its own.
+// Leads records that requests of a kind call a service downstream of the kind's own.
 func (p *Pressures) Leads(now time.Time, kind, service string) {
-	services := p.leads[kind]
+	services := p.downstream[kind]
 	if services == nil {
 		services = map[string]time.Time{}
-		p.leads[kind] = services
+		p.downstream[kind] = services
 	}
 	services[service] = now
 }
 
-// Below returns the services that a kind leads to below its own.
+// Below returns the services that requests of a kind call downstream of its own, sorted.
 func (p *Pressures) Below(now time.Time, kind string) []string {
-	services := p.leads[kind]
-	maps.DeleteFunc(services, func(_ string, at time.Time) bool { return now.Sub(at) >= leadFresh })
+	services := p.downstream[kind]
+	maps.DeleteFunc(services, func(_ string, at time.Time) bool { return now.Sub(at) >= downstreamExpiry })
 	return slices.Sorted(maps.Keys(services))
 }
 
-// Of returns the pressure that a kind of a service meets.
+// Of returns the pressure on the kind's own service and on those downstream of it.
 func (p *Pressures) Of(now time.Time, kind, service string) Pressure {
-	pressure := Pressure{Own: p.at(now, service)}
+	pressure := Pressure{Own: p.current(now, service)}
 	for _, below := range p.Below(now, kind) {
-		pressure.Below = max(pressure.Below, p.at(now, below))
+		pressure.Below = max(pressure.Below, p.current(now, below))
 	}
 	return pressure
 }
 
-// Told returns what is worth passing on, the fullest service first.
+// Told returns the reports to send with an answer, the highest pressure first.
 func (p *Pressures) Told(now time.Time) []Heard {
 	var told []Heard
-	for service, m := range p.heard {
-		if m.pressure < tellAbove || now.Sub(m.at) >= pressureFresh {
+	for service, m := range p.samples {
+		if m.pressure < minReportedPressure || now.Sub(m.at) >= pressureFresh {
 			continue
 		}
-		if len(told) == tellMost && m.pressure <= told[tellMost-1].Pressure {
+		if len(told) == maxReports && m.pressure <= told[maxReports-1].Pressure {
 			continue
 		}
-		told = append(told[:min(len(told), tellMost-1)], Heard{Service: service, Pressure: m.pressure, Age: now.Sub(m.at)})
+		told = append(told[:min(len(told), maxReports-1)], Heard{Service: service, Pressure: m.pressure, Age: now.Sub(m.at)})
 		slices.SortFunc(told, func(a, b Heard) int { return cmp.Compare(b.Pressure, a.Pressure) })
 	}
 	return told
 }
 
-// Fresh returns the pressure of each service of which something fresh is known.
+// Fresh returns the pressure of each service with an unexpired report.
 func (p *Pressures) Fresh(now time.Time) map[string]float64 {
 	fresh := map[string]float64{}
-	for service, m := range p.heard {
+	for service, m := range p.samples {
 		if now.Sub(m.at) < pressureFresh {
 			fresh[service] = m.pressure
 		}
@@ -110,14 +112,14 @@
 	return fresh
 }
 
-// Keep forgets what kinds lead to that are not declared.
+// Keep discards the downstream services of kinds that are no longer declared.
 func (p *Pressures) Keep(declared func(kind string) bool) {
-	maps.DeleteFunc(p.leads, func(kind string, _ map[string]time.Time) bool { return !declared(kind) })
+	maps.DeleteFunc(p.downstream, func(kind string, _ map[string]time.Time) bool { return !declared(kind) })
 }
 
-// at returns the pressure of a service, 0 when nothing fresh is known of it.
-func (p *Pressures) at(now time.Time, service string) float64 {
-	m := p.heard[service]
+// current returns the pressure of a service, or 0 if there is no unexpired report of it.
+func (p *Pressures) current(now time.Time, service string) float64 {
+	m := p.samples[service]
 	if now.Sub(m.at) >= pressureFresh {
 		return 0
 	}
--- a/internal/admit/pressure_test.go
+++ b/internal/admit/pressure_test.go
@@ -10,7 +10,7 @@
 	"github.com/dandelionfield/dandelionfield/internal/admit"
 )
 
-// What was measured last counts, in whatever order it is heard, and for a second.
+// The latest measurement applies, in whatever order reports arrive, and for one second.
 func TestNewestPressureCounts(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
@@ -20,14 +20,15 @@
 	p.Hear(now, admit.Heard{Service: "scheduler", Pressure: 0.5, Age: 300 * time.Millisecond})
 	p.Hear(now, admit.Heard{Service: "orders", Pressure: 0.7})
 	is.Equal(p.Of(now, "order", "orders"), admit.Pressure{Own: 0.7, Below: 2})
-	is.Equal(p.Of(now, "certificate", "certificates"), admit.Pressure{}) // leads elsewhere
+	is.Equal(p.Of(now, "certificate", "certificates"), admit.Pressure{}) // calls other services
 	p.Hear(now, admit.Heard{Service: "scheduler", Pressure: 0.5, Age: 50 * time.Millisecond})
 	is.Equal(p.Of(now, "order", "orders").Below, 0.5)
 	now = now.Add(time.Second)
 	is.Equal(p.Of(now, "order", "orders"), admit.Pressure{})
 }
 
-// A kind of which next to nothing is let in is still known to lead where it led.
+// The downstream services of a kind stay known through a surge in which hardly any of its
+// requests are admitted.
 func TestWhereAKindLeadsOutlastsASurge(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
@@ -35,11 +36,11 @@
 	p.Leads(now, "look_up", "scheduler")
 	p.Leads(now, "look_up", "certificates")
 	is.Equal(p.Below(now.Add(20*time.Second), "look_up"), []string{"certificates", "scheduler"})
-	is.Equal(len(p.Below(now.Add(40*time.Second), "look_up")), 0) // and not for good
+	is.Equal(len(p.Below(now.Add(40*time.Second), "look_up")), 0) // and expire in the end
 }
 
-// Only services with something in hand are passed on, the fullest first, and so few
-// that an answer stays small whatever the number of services.
+// Only services under pressure are reported, the highest pressure first, and at most four,
+// so that an answer stays small whatever the number of services.
 func TestWhatIsPassedOn(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
@@ -55,7 +56,7 @@
 	is.Equal(len(p.Told(now.Add(time.Second))), 0)
 }
 
-// Benchmark of what an answer costs at a node that heard of 54 services, all busy.
+// BenchmarkTold measures the cost per answer at a node with reports of 54 busy services.
 func BenchmarkTold(b *testing.B) {
 	now := time.Unix(1_800_000_000, 0)
 	p := admit.NewPressures()
--- a/internal/admit/pulse.go
+++ b/internal/admit/pulse.go
@@ -7,138 +7,143 @@
 )
 
 const (
-	// minSilence is the least time without a sign of a target's life after
-	// which it may count as stopped.
+	// minSilence is the shortest time without activity after which a target may count
+	// as stopped.
 	minSilence = 500 * time.Millisecond
-	// overdueFactor times the usual time of its kind makes a call overdue.
+	// overdueFactor times the mean service time of its kind makes a call overdue.
 	overdueFactor = 2
-	// minOverdue calls must be overdue at once: a single one may just be long.
+	// minOverdue is how many calls must be overdue at once, because a single one may
+	// just take long.
 	minOverdue = 2
-	// minQuiet is the least silence after which a target may be suspected, and
-	// quietGaps how many of the usual times between two answers it must last.
-	// Chance makes a gap of eight once in three thousand.
+	// minQuiet is the shortest silence after which a target may be suspected to have
+	// stopped, and quietGaps how many mean gaps between two answers the silence must
+	// last. With random answers, one gap in three thousand reaches eight times the mean.
 	minQuiet  = 100 * time.Millisecond
 	quietGaps = 8
 )
 
-// pulse is what a gate knows of its target's life.
+// liveness tracks whether a target is working.
 //
-// A target that hangs keeps its slots full, and its node cannot tell that from
-// slow work before the deadlines. But a target at work shows signs all the
-// time: it answers, or makes calls of its own. One that shows none while calls
-// in its own hands are overdue has stopped. It gets no more calls then, except
-// one at a time to see whether it goes on, and any sign ends the stop.
+// A target that hangs keeps its slots occupied, which its node cannot tell from slow
+// work before the deadlines pass. But a working target is active all the time: it
+// answers calls or makes calls of its own. A target without any activity while calls
+// that only it can complete are overdue counts as stopped. It then gets only one call
+// at a time, as a probe, and any activity ends the stop.
 //
-// Of 12 calls of a kind that usually takes 300 ms, one is answered each 25 ms.
-// Once 600 ms have passed without any, for two of them, the target has stopped. Those that wait for calls of their own do not count:
-// what has stopped is further down.
-type pulse struct {
-	signAt  time.Time
-	stopped bool
-	// suspect is set in a silence that chance seldom makes. No further call is
-	// put into the target's hands before it shows a sign or has stopped.
-	suspect bool
-	// lookedAt is the last look. After a longer break the node itself stood
-	// still, and cannot know what its target showed meanwhile.
-	lookedAt time.Time
+// For example, with 12 calls in flight of a kind with a mean time of 300 ms, one is
+// answered every 25 ms. Once two of them have seen no activity for 600 ms, the target
+// counts as stopped. Calls that wait for downstream calls are not counted, because
+// then a downstream service has stopped.
+type liveness struct {
+	// lastActivity is the time of the target's last activity.
+	lastActivity time.Time
+	stopped      bool
+	// suspected is set during a silence that is unlikely to be random. The number of
+	// calls in flight then does not rise until the target is active again or counts
+	// as stopped.
+	suspected bool
+	// lastCheck is the time of the last check. After a longer interval the node itself
+	// was paused and cannot know whether its target was active in the meantime.
+	lastCheck time.Time
 	// stoppedAt is when the target was found to have stopped.
 	stoppedAt time.Time
 }
 
-// Sign notes that the target has shown that it works.
+// Sign records activity of the target, which ends a stop.
 func (g *Gate) Sign(now time.Time) {
-	g.pulse.signAt = now
-	g.pulse.stopped = false
-	g.pulse.suspect = false
+	g.liveness.lastActivity = now
+	g.liveness.stopped = false
+	g.liveness.suspected = false
 }
 
-// Stopped reports whether the target has stopped working.
+// Stopped reports whether the target counts as stopped.
 func (g *Gate) Stopped() bool {
-	return g.pulse.stopped
+	return g.liveness.stopped
 }
 
-// stoppedFor returns for how long the target has been known to have stopped: 0
-// while it works, and at least a millisecond after that, which is what travels.
+// stoppedFor returns for how long the target has counted as stopped: 0 while it works,
+// and otherwise at least a millisecond, which is the unit on the wire.
 func (g *Gate) stoppedFor(now time.Time) time.Duration {
-	if !g.pulse.stopped {
+	if !g.liveness.stopped {
 		return 0
 	}
-	return max(now.Sub(g.pulse.stoppedAt), time.Millisecond)
+	return max(now.Sub(g.liveness.stoppedAt), time.Millisecond)
 }
 
-// checkPulse looks whether the target has stopped, and then turns the queued
-// calls away while there is time to take them elsewhere.
-func (g *Gate) checkPulse(now time.Time) []Release {
-	if now.Sub(g.pulse.lookedAt) > minSilence {
-		g.pulse.signAt = now
+// checkLiveness checks whether the target has stopped. If so, it rejects the queued calls
+// while there is still time to send them to other targets.
+func (g *Gate) checkLiveness(now time.Time) []Release {
+	if now.Sub(g.liveness.lastCheck) > minSilence {
+		g.liveness.lastActivity = now
 	}
-	g.pulse.lookedAt = now
+	g.liveness.lastCheck = now
 	if g.settings.Opaque {
 		return nil
 	}
-	g.pulse.suspect = g.quiet(now)
-	if g.pulse.stopped || now.Sub(g.pulse.signAt) < minSilence || g.overdue(now) < minOverdue {
+	g.liveness.suspected = g.suspiciouslySilent(now)
+	if g.liveness.stopped || now.Sub(g.liveness.lastActivity) < minSilence || g.overdueCalls(now) < minOverdue {
 		return nil
 	}
-	g.pulse.stopped = true
-	g.pulse.stoppedAt = now
+	g.liveness.stopped = true
+	g.liveness.stoppedAt = now
 	var released []Release
-	g.queue.remove(func(w waiter) bool {
+	g.queue.remove(func(w queuedCall) bool {
 		released = append(released, Release{ID: w.call.ID, Code: result.TargetStopped})
 		return true
 	})
 	return released
 }
 
-// quiet reports whether the target is silent for much longer than it usually is
-// with as many calls in its hands: 15 of 300 ms each are answered every 20 ms, so
-// that a silence of 160 ms is suspect.
-func (g *Gate) quiet(now time.Time) bool {
-	from := g.pulse.signAt
+// suspiciouslySilent reports whether the target has been silent for much longer than is
+// usual with as many calls in flight: 15 calls of 300 ms are answered every 20 ms, so
+// that a silence of 160 ms is suspect. Calls that wait for downstream calls do not count.
+func (g *Gate) suspiciouslySilent(now time.Time) bool {
+	from := g.liveness.lastActivity
 	if g.epoch.After(from) {
-		from = g.epoch // the target was idle until then
+		from = g.epoch // the target was idle before this
 	}
 	silence := now.Sub(from)
-	usual := g.times.mean()
-	if silence < minQuiet || usual == 0 {
+	mean := g.serviceTimes.overallMean()
+	if silence < minQuiet || mean == 0 {
 		return false
 	}
-	inHand := 0
+	pending := 0
 	for _, run := range g.running {
-		if now.Sub(run.started) >= silence/2 && !run.waiting() {
-			inHand++
+		if now.Sub(run.started) >= silence/2 && !run.waitingDownstream() {
+			pending++
 		}
 	}
-	return inHand >= minOverdue && silence.Seconds() > quietGaps*usual/float64(inHand)
+	return pending >= minOverdue && silence.Seconds() > quietGaps*mean/float64(pending)
 }
 
-// waiting reports whether the target waits for calls that it made for this one.
-func (r runner) waiting() bool {
-	return r.waits != nil && r.waits()
+// waitingDownstream reports whether the target is waiting for downstream calls of this
+// call.
+func (r runningCall) waitingDownstream() bool {
+	return r.awaitsDownstream != nil && r.awaitsDownstream()
 }
 
-// overdue counts the calls that have been in the target's own hands for too
-// long, from their start or the last sign on.
-func (g *Gate) overdue(now time.Time) int {
+// overdueCalls counts the calls that only the target itself can complete and that have
+// taken too long since their start or, if later, since the target's last activity.
+func (g *Gate) overdueCalls(now time.Time) int {
 	count := 0
 	for _, run := range g.running {
-		usual := g.times.usual(run.kind)
+		mean := g.serviceTimes.kindMean(run.kind)
 		since := run.started
-		if g.pulse.signAt.After(since) {
-			since = g.pulse.signAt
+		if g.liveness.lastActivity.After(since) {
+			since = g.liveness.lastActivity
 		}
-		if usual == 0 || now.Sub(since) < max(overdueFactor*usual, minSilence) {
+		if mean == 0 || now.Sub(since) < max(overdueFactor*mean, minSilence) {
 			continue
 		}
-		if !run.waiting() {
+		if !run.waitingDownstream() {
 			count++
 		}
 	}
 	return count
 }
 
-// barred reports whether a call is turned away because the target has stopped:
-// while no other is in flight, one is let through to see whether it goes on.
-func (g *Gate) barred() bool {
-	return g.pulse.stopped && len(g.running) > 0
+// rejectsAsStopped reports whether an arriving call is rejected because the target has
+// stopped. If no other call is in flight, the call is admitted as a probe.
+func (g *Gate) rejectsAsStopped() bool {
+	return g.liveness.stopped && len(g.running) > 0
 }
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -7,48 +7,48 @@
 )
 
 type (
-	// waiter is a call in the queue.
-	waiter struct {
+	// queuedCall is a call in the queue, with its order and time of arrival.
+	queuedCall struct {
 		call    Call
 		order   uint32
 		arrived time.Time
 	}
 
-	// queue holds waiting calls, the highest order first and equal orders by
+	// queue holds calls sorted by descending order, and calls of equal order by
 	// arrival.
 	queue struct {
-		waiters []waiter
+		calls []queuedCall
 	}
 )
 
 func (q *queue) len() int {
-	return len(q.waiters)
+	return len(q.calls)
 }
 
-func (q *queue) insert(w waiter) {
-	at := sort.Search(len(q.waiters), func(i int) bool { return q.waiters[i].order < w.order })
-	q.waiters = slices.Insert(q.waiters, at, w)
+func (q *queue) insert(w queuedCall) {
+	at := sort.Search(len(q.calls), func(i int) bool { return q.calls[i].order < w.order })
+	q.calls = slices.Insert(q.calls, at, w)
 }
 
-// middle returns the order that half of the calls reach.
-func (q *queue) middle() uint32 {
-	return q.waiters[len(q.waiters)/2].order
+// medianOrder returns the median order. The queue must not be empty.
+func (q *queue) medianOrder() uint32 {
+	return q.calls[len(q.calls)/2].order
 }
 
-func (q *queue) takeHighest() waiter {
-	w := q.waiters[0]
-	q.waiters = slices.Delete(q.waiters, 0, 1)
+func (q *queue) takeHighest() queuedCall {
+	w := q.calls[0]
+	q.calls = slices.Delete(q.calls, 0, 1)
 	return w
 }
 
-func (q *queue) takeLowest() waiter {
-	last := len(q.waiters) - 1
-	w := q.waiters[last]
-	q.waiters = slices.Delete(q.waiters, last, last+1)
+func (q *queue) takeLowest() queuedCall {
+	last := len(q.calls) - 1
+	w := q.calls[last]
+	q.calls = slices.Delete(q.calls, last, last+1)
 	return w
 }
 
-// remove takes out the calls for which the function returns true.
-func (q *queue) remove(drop func(w waiter) bool) {
-	q.waiters = slices.DeleteFunc(q.waiters, drop)
+// remove removes the calls for which drop returns true.
+func (q *queue) remove(drop func(w queuedCall) bool) {
+	q.calls = slices.DeleteFunc(q.calls, drop)
 }
--- a/internal/admit/resize_test.go
+++ b/internal/admit/resize_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// A node makes its gate before it has a configuration. The limit that was
-// scaled from zero slots stayed at one call in flight for ever.
+// A node creates its gate before it has a configuration. A limit scaled up from zero
+// slots would stay at one call in flight for ever.
 func TestResizeFromNoSlotsGivesTheDeclaredLimit(t *testing.T) {
 	is := is.New(t)
 	started := time.Unix(1000, 0)
--- a/internal/admit/throttle.go
+++ b/internal/admit/throttle.go
@@ -11,86 +11,94 @@
 )
 
 const (
-	// throttlePeriod is how often the shares are set anew.
+	// throttlePeriod is the interval at which the shares are updated.
 	throttlePeriod = 200 * time.Millisecond
-	// throttleMemory is the time constant with which ends of requests are forgotten.
-	throttleMemory = time.Second
-	// minEnds is how many ends, weighted, say something about a kind.
+	// throttleTimeConstant is the time constant with which the counts of ends decay.
+	throttleTimeConstant = time.Second
+	// minEnds is how many ends, after decay, are needed to judge whether a kind fails.
 	minEnds = 3.0
-	// keptEnds is how many of the last ends are remembered beyond throttleMemory,
-	// for a node that sees few of a kind, and endsFresh for how long.
-	keptEnds  = 6.0
-	endsFresh = 5 * time.Second
-	// A kind fails when more than failAbove of its requests do.
-	failAbove = 0.08
-	// exposedFor is how long a kind that failed counts as one that leads to a
-	// bottleneck below its own service.
-	exposedFor = 5 * time.Second
-	// pressureFresh is how long a reported pressure counts.
+	// keptEnds is the count of ends below which the counts of a kind do not decay as
+	// long as its last end is younger than keptEndsFor. This is for nodes that see few
+	// requests of a kind.
+	keptEnds    = 6.0
+	keptEndsFor = 5 * time.Second
+	// maxFailureShare is the share of failed requests above which a kind counts as
+	// failing.
+	maxFailureShare = 0.08
+	// downstreamFailureFor is how long a kind counts as calling a downstream bottleneck
+	// after it failed.
+	downstreamFailureFor = 5 * time.Second
+	// pressureFresh is how long a reported pressure is used.
 	pressureFresh = time.Second
-	// A service is full above fullPressure and has room below roomPressure. In
-	// between the shares stay.
-	fullPressure = 1.0
-	roomPressure = 0.93
-	// aimPressure is what a change of a share aims at. In one period it falls to
-	// maxCut of itself or rises to maxGrowth of itself at most, and by leastGrowth.
-	aimPressure = 0.95
-	maxCut      = 0.7
-	maxGrowth   = 1.3
-	leastGrowth = 0.005
-	// stepGain is how much of the way to the aim one period goes, as an exponent: what
-	// was let in before arrives for another half second, two to three periods.
+	// fullPressure is the pressure above which a service counts as full, and
+	// sparePressure the pressure below which it has spare capacity. In between, the
+	// shares stay as they are.
+	fullPressure  = 1.0
+	sparePressure = 0.93
+	// pressureSetpoint is the setpoint for changes of a share. In one period, a share is
+	// multiplied by at least maxCut and at most maxGrowth, and a rising share grows by
+	// a further minGrowth.
+	pressureSetpoint = 0.95
+	maxCut           = 0.7
+	maxGrowth        = 1.3
+	minGrowth        = 0.005
+	// stepGain is the part of the change towards pressureSetpoint that is made in one
+	// period, as an exponent. Calls of requests admitted earlier keep arriving for half a
+	// second, which is two to three periods.
 	stepGain = 0.5
-	// roomGain is how much of the room, as a share of all requests of a kind, is given
-	// to them in one period.
-	roomGain = 0.15
-	// minShare keeps a few requests going, which show how the services are.
+	// spareGain is the part of the spare capacity that is given to a kind in one period,
+	// as a share of all its requests.
+	spareGain = 0.15
+	// minShare is the share always admitted, so that the state of the services shows.
 	minShare = 0.03
 )
 
 type (
-	// End is how a request that was let in ended.
+	// End is how an admitted request ended.
 	End uint8
 
-	// Pressure is the load that is offered to the targets of a service in relation
-	// to their slots: above 1, more calls arrive than they can carry.
+	// Pressure is the load offered to the targets of a service relative to their slots:
+	// above 1, more calls arrive than they can serve.
 	Pressure struct {
-		// Own is that of the kind's own service, and Below the highest of the
-		// services that are called for it, as far as is known.
-		Own   float64
+		// Own is the pressure of the kind's own service.
+		Own float64
+		// Below is the highest known pressure of the services that are called
+		// downstream of the kind's own.
 		Below float64
 	}
 
-	// Throttle decides which share of the requests of each kind a node lets in.
+	// Throttle decides which share of the requests of each kind a node admits.
 	//
-	// The pressure says how much must be held back, and how requests end says of
-	// which kinds. A node does not know which kinds lead to a full service deep in
-	// the call chains, but requests of those fail. So when services are full, the
-	// kinds that fail are cut, the least important first: while look-ups and orders
-	// fail together, the look-ups are cut, and the orders only once there are next
-	// to no look-ups. A kind that does well does not meet the bottleneck and is let
-	// in, whatever its importance. Failures without pressure have another cause
-	// than load; to let in less would not help them.
+	// The pressure shows how much load must be rejected, and the ends of requests show
+	// of which kinds. A node does not know which kinds call a full service deep in the
+	// call chains, but requests of those kinds fail. While services are full, the
+	// failing kinds are therefore cut, the least important first: if look-ups and the
+	// more important orders both fail, look-ups are cut first, and orders only once
+	// look-ups are down to the minimum share. A kind whose requests succeed does not
+	// meet the bottleneck and is admitted whatever its importance. Failures without
+	// pressure are not caused by load, and admitting less would not prevent them.
 	Throttle struct {
-		kinds map[string]*throttled
-		at    time.Time
-		setAt time.Time
+		kinds       map[string]*kindState
+		decayedAt   time.Time
+		sharesSetAt time.Time
 	}
 
-	// throttled is what a Throttle knows of one kind. The counts fade with
-	// throttleMemory.
-	throttled struct {
+	// kindState is the state of one kind in a Throttle. The counts decay with
+	// throttleTimeConstant.
+	kindState struct {
 		importance schema.Importance
 		share      float64
-		good       float64
-		// bad counts all that failed, and full those among them for which the kind's
-		// own service had no room.
-		bad       float64
-		full      float64
-		endedAt   time.Time
-		failedAt  time.Time
-		pressure  Pressure
-		pressedAt time.Time
+		succeeded  float64
+		// failed counts all requests that failed, and ownRejected those of them that the
+		// kind's own service rejected.
+		failed      float64
+		ownRejected float64
+		// lastEnd is when a request last ended, and lastDownstreamFailure when the kind
+		// was last failing for another reason than rejection by its own service.
+		lastEnd               time.Time
+		lastDownstreamFailure time.Time
+		pressure              Pressure
+		pressureAt            time.Time
 	}
 )
 
@@ -98,21 +106,23 @@
 const (
 	// Good means that the request was answered.
 	Good End = iota
-	// Overrun means that it failed in a way that load can cause, here or below.
+	// Overrun means that it failed in a way that overload can cause, at the kind's own
+	// service or downstream.
 	Overrun
-	// NoRoom means that the kind's own service turned it away, which says nothing of
-	// the services below.
+	// NoRoom means that the kind's own service rejected it for lack of capacity, which
+	// says nothing about the services downstream.
 	NoRoom
-	// Other means an end that says nothing of load.
+	// Other means that it ended in a way that says nothing about load.
 	Other
 )
 
-// NewThrottle returns a throttle that lets everything in.
+// NewThrottle returns a throttle that admits all requests until pressure is reported.
 func NewThrottle() *Throttle {
-	return &Throttle{kinds: map[string]*throttled{}}
+	return &Throttle{kinds: map[string]*kindState{}}
 }
 
-// Offer says whether a request is let in, with a number drawn from [0, 1).
+// Offer reports whether a request is admitted. The caller draws a random number from
+// [0, 1) for it, which is compared with the share of its kind.
 func (t *Throttle) Offer(now time.Time, kind string, importance schema.Importance, drawn float64) bool {
 	t.advance(now)
 	k := t.kind(kind)
@@ -120,14 +130,14 @@
 	return drawn < k.share
 }
 
-// Press takes in the pressure of the services that a kind leads to.
+// Press sets the pressure of the services that requests of a kind call.
 func (t *Throttle) Press(now time.Time, kind string, pressure Pressure) {
 	k := t.kind(kind)
 	k.pressure = pressure
-	k.pressedAt = now
+	k.pressureAt = now
 }
 
-// Share returns the share of a kind's requests that are let in.
+// Share returns the share of a kind's requests that is admitted.
 func (t *Throttle) Share(kind string) float64 {
 	if k := t.kinds[kind]; k != nil {
 		return k.share
@@ -135,32 +145,32 @@
 	return 1
 }
 
-// Calm says whether the requests of a kind mostly end well, so that a failure is
-// one of its own and worth a repeat.
+// Calm reports whether the requests of a kind mostly succeed, so that a failure is a
+// single incident and worth a retry.
 func (t *Throttle) Calm(kind string) bool {
 	k := t.kinds[kind]
 	return k == nil || !k.failing()
 }
 
-// Ended takes in the end of a request that was let in.
+// Ended records how an admitted request ended.
 func (t *Throttle) Ended(now time.Time, kind string, end End) {
 	t.advance(now)
 	k := t.kind(kind)
 	switch end {
 	case Good:
-		k.good++
+		k.succeeded++
 	case Overrun:
-		k.bad++
+		k.failed++
 	case NoRoom:
-		k.bad++
-		k.full++
+		k.failed++
+		k.ownRejected++
 	case Other:
 		return
 	}
-	k.endedAt = now
+	k.lastEnd = now
 }
 
-// Shares returns the share that is let in of each kind of which requests came.
+// Shares returns the admitted share of each kind that the throttle has state of.
 func (t *Throttle) Shares() map[string]float64 {
 	shares := make(map[string]float64, len(t.kinds))
 	for name, k := range t.kinds {
@@ -169,128 +179,133 @@
 	return shares
 }
 
-// Keep forgets the kinds that are not declared, so that what is known stays in bounds
-// while declarations come and go.
+// Keep discards the state of kinds that are no longer declared, which bounds the memory
+// in use while declarations change.
 func (t *Throttle) Keep(declared func(kind string) bool) {
-	maps.DeleteFunc(t.kinds, func(name string, _ *throttled) bool { return !declared(name) })
+	maps.DeleteFunc(t.kinds, func(name string, _ *kindState) bool { return !declared(name) })
 }
 
-func (t *Throttle) kind(name string) *throttled {
+// kind returns the state of a kind and creates it if there is none.
+func (t *Throttle) kind(name string) *kindState {
 	k := t.kinds[name]
 	if k == nil {
-		k = &throttled{share: 1}
+		k = &kindState{share: 1}
 		t.kinds[name] = k
 	}
 	return k
 }
 
-// advance lets the counts fade and sets the shares when that is due.
+// advance decays the counts, and updates the shares once per throttlePeriod.
 func (t *Throttle) advance(now time.Time) {
-	elapsed := now.Sub(t.at)
-	if t.at.IsZero() || elapsed < 0 {
-		t.at = now
-		t.setAt = now
+	elapsed := now.Sub(t.decayedAt)
+	if t.decayedAt.IsZero() || elapsed < 0 {
+		t.decayedAt = now
+		t.sharesSetAt = now
 		return
 	}
 	if elapsed > 0 {
-		t.at = now
-		keep := math.Exp(-elapsed.Seconds() / throttleMemory.Seconds())
+		t.decayedAt = now
+		factor := math.Exp(-elapsed.Seconds() / throttleTimeConstant.Seconds())
 		for _, k := range t.kinds {
-			k.fade(now, keep)
+			k.decay(now, factor)
 		}
 	}
-	if now.Sub(t.setAt) >= throttlePeriod {
-		t.setAt = now
-		t.set(now)
+	if now.Sub(t.sharesSetAt) >= throttlePeriod {
+		t.sharesSetAt = now
+		t.updateShares(now)
 	}
 }
 
-// set sets the share of every kind, the least important first.
-func (t *Throttle) set(now time.Time) {
-	kinds := make([]*throttled, 0, len(t.kinds))
+// updateShares updates the share of every kind, the least important first.
+func (t *Throttle) updateShares(now time.Time) {
+	kinds := make([]*kindState, 0, len(t.kinds))
 	for _, k := range t.kinds {
 		kinds = append(kinds, k)
-		if k.failingBelow() {
-			k.failedAt = now
+		if k.failingDownstream() {
+			k.lastDownstreamFailure = now
 		}
 	}
-	slices.SortFunc(kinds, func(a, b *throttled) int { return cmp.Compare(a.importance, b.importance) })
+	slices.SortFunc(kinds, func(a, b *kindState) int { return cmp.Compare(a.importance, b.importance) })
 	for i, k := range kinds {
-		pressure := k.exposure(now)
+		pressure := k.effectivePressure(now)
 		switch {
-		case pressure < roomPressure:
-			k.share = min(1, k.share*growth(k.share, pressure)+leastGrowth)
-		case pressure > fullPressure && !hasShield(now, kinds[:i], k):
-			k.share = max(minShare, k.share*max(maxCut, step(pressure)))
+		case pressure < sparePressure:
+			k.share = min(1, k.share*growthFactor(k.share, pressure)+minGrowth)
+		case pressure > fullPressure && !lessImportantCanYield(now, kinds[:i], k):
+			k.share = max(minShare, k.share*max(maxCut, stepFactor(pressure)))
 		}
 	}
 }
 
-// step is by which factor a share changes in one period: the whole of the change that
-// the pressure asks for at once would come on top of those of the last periods, which
-// have not shown in the pressure yet.
-func step(pressure float64) float64 {
-	return math.Pow(aimPressure/pressure, stepGain)
+// stepFactor returns the factor by which a share changes in one period. It makes only
+// part of the change that the pressure calls for, because the changes of the last periods
+// do not show in the pressure yet.
+func stepFactor(pressure float64) float64 {
+	return math.Pow(pressureSetpoint/pressure, stepGain)
 }
 
-// growth is by which factor a share grows where there is room. The factor that the
-// pressure asks for is that of all load together; a kind of which few are let in adds
-// little to it, and has most of the room to itself.
-func growth(share, pressure float64) float64 {
-	wanted := 1 + roomGain*(aimPressure-pressure)/max(share, minShare)
-	return min(maxGrowth, max(step(pressure), wanted))
+// growthFactor returns the factor by which a share grows while there is spare capacity.
+// The factor of stepFactor applies to the total load. A kind of which few requests are
+// admitted contributes little to the load and can take up most of the spare capacity, so
+// its share may grow faster.
+func growthFactor(share, pressure float64) float64 {
+	wanted := 1 + spareGain*(pressureSetpoint-pressure)/max(share, minShare)
+	return min(maxGrowth, max(stepFactor(pressure), wanted))
 }
 
-// hasShield says whether a less important kind that leads to a full service too
-// can still give way.
-func hasShield(now time.Time, below []*throttled, k *throttled) bool {
+// lessImportantCanYield reports whether a less important kind that also calls a full
+// service can still be cut instead of k.
+func lessImportantCanYield(now time.Time, below []*kindState, k *kindState) bool {
 	for _, other := range below {
-		if other.importance < k.importance && other.exposure(now) > fullPressure && other.share > minShare {
+		if other.importance < k.importance && other.effectivePressure(now) > fullPressure && other.share > minShare {
 			return true
 		}
 	}
 	return false
 }
 
-// exposure returns the pressure that a kind meets: that of its own service and of
-// those below, where its requests fail. One whose requests do well, since others
-// give way to them in the queues, relieves nobody by being held back.
-func (k *throttled) exposure(now time.Time) float64 {
-	if now.Sub(k.pressedAt) >= pressureFresh {
+// effectivePressure returns the pressure by which the share of a kind is set: that of its
+// own service if its requests fail, or that of the services downstream if it is higher
+// and requests have recently failed there. A kind whose requests succeed, because they
+// take precedence in the queues, has none, as admitting fewer of them would not relieve
+// other kinds.
+func (k *kindState) effectivePressure(now time.Time) float64 {
+	if now.Sub(k.pressureAt) >= pressureFresh {
 		return 0
 	}
-	exposure := 0.0
+	effective := 0.0
 	if k.failing() {
-		exposure = k.pressure.Own
+		effective = k.pressure.Own
 	}
-	if !k.failedAt.IsZero() && now.Sub(k.failedAt) <= exposedFor {
-		exposure = max(exposure, k.pressure.Below)
+	if !k.lastDownstreamFailure.IsZero() && now.Sub(k.lastDownstreamFailure) <= downstreamFailureFor {
+		effective = max(effective, k.pressure.Below)
 	}
-	return exposure
+	return effective
 }
 
-// fade lets the counts of ends come down to a share, but not below those that a
-// node remembers which sees few of the kind.
-func (k *throttled) fade(now time.Time, keep float64) {
-	ends := k.good + k.bad
-	if now.Sub(k.endedAt) < endsFresh && ends*keep < keptEnds {
-		keep = min(1, keptEnds/ends)
+// decay multiplies the counts of ends by the given factor, but does not reduce them below
+// keptEnds in total while the last end is younger than keptEndsFor.
+func (k *kindState) decay(now time.Time, factor float64) {
+	ends := k.succeeded + k.failed
+	if now.Sub(k.lastEnd) < keptEndsFor && ends*factor < keptEnds {
+		factor = min(1, keptEnds/ends)
 	}
-	k.good *= keep
-	k.bad *= keep
-	k.full *= keep
+	k.succeeded *= factor
+	k.failed *= factor
+	k.ownRejected *= factor
 }
 
-// failingBelow says whether the kind fails for another reason than that its own service
-// has no room. One that is turned away there may be the victim of others, whose calls
-// wait for a full service below and keep the slots of this one meanwhile; it does well
-// again as soon as they give way.
-func (k *throttled) failingBelow() bool {
-	ends := k.good + k.bad
-	return ends >= minEnds && k.bad-k.full > failAbove*ends
+// failingDownstream reports whether the kind fails for another reason than rejection by
+// its own service. A kind rejected there may suffer from other kinds, whose calls occupy
+// the service's slots while they wait for a full service downstream. It succeeds again as
+// soon as those are cut.
+func (k *kindState) failingDownstream() bool {
+	ends := k.succeeded + k.failed
+	return ends >= minEnds && k.failed-k.ownRejected > maxFailureShare*ends
 }
 
-func (k *throttled) failing() bool {
-	ends := k.good + k.bad
-	return ends >= minEnds && k.bad > failAbove*ends
+// failing reports whether too many of the kind's requests fail, for any reason.
+func (k *kindState) failing() bool {
+	ends := k.succeeded + k.failed
+	return ends >= minEnds && k.failed > maxFailureShare*ends
 }
--- a/internal/admit/throttle_test.go
+++ b/internal/admit/throttle_test.go
@@ -16,9 +16,8 @@
 )
 
 type (
-	// meshKind is a kind of request: it works for a while at its own service,
-	// which is never full, and then makes calls one after the other to a
-	// scheduler that all chains share.
+	// meshKind is a kind of request. A request takes some time at its own service, which
+	// is never full, and then makes sequential calls to a scheduler that all kinds share.
 	meshKind struct {
 		name       string
 		importance schema.Importance
@@ -26,40 +25,41 @@
 		work       time.Duration
 		calls      int
 		deadline   time.Duration
-		// direct is set where callers ask the scheduler itself: such calls wait ahead
-		// of those that targets make.
+		// direct is set if callers call the scheduler itself. Such calls are queued
+		// ahead of those made by targets.
 		direct bool
-		// together is set where the calls go out in two lanes at once.
-		together bool
+		// parallel is set if the calls are made in two concurrent sequences.
+		parallel bool
 	}
 
-	// surge multiplies the arrivals of all kinds for a while.
+	// surge multiplies the arrivals of all kinds for some time.
 	surge struct {
 		from, until time.Duration
 		times       float64
 	}
 
-	// mesh replays a load pattern in virtual time: requests pass a throttle, or
-	// none, and share the scheduler's slots.
+	// mesh simulates a load pattern in virtual time. Requests pass a throttle, or none,
+	// and share the scheduler's slots.
 	mesh struct {
 		kinds  []meshKind
 		surges []surge
-		// nodes are those through which callers come, evenly; none in a naive mesh.
+		// nodes are the entry nodes, which get equal load. A naive mesh has none.
 		nodes []*meshNode
 		slots int
-		// announced is how many slots the scheduler has, where it slows near them.
+		// announced is how many slots the scheduler has, if it slows down near that
+		// number.
 		announced int
 		callTime  time.Duration
-		// shedShare of the calls are shed by the scheduler whatever its load, for a
-		// while.
+		// shedShare is the share of the calls that the scheduler sheds during shed,
+		// whatever its load.
 		shedShare float64
 		shed      surge
-		// newsDelay is how long the pressure takes to reach the throttle: it travels
-		// up with the answers of calls that take their time.
-		newsDelay time.Duration
+		// reportDelay is how long a report of the pressure takes to reach the throttle,
+		// as it is sent with the answers of calls.
+		reportDelay time.Duration
 
-		// knee multiplies the time of calls that start while the scheduler is nearly
-		// full, unless it is 0.
+		// knee is a factor on the time of calls that start while the scheduler is nearly
+		// full, or 0 for no change.
 		knee float64
 
 		offered   float64
@@ -87,14 +87,14 @@
 		ended     bool
 	}
 
-	// meshCall is what a request calls one after the other.
+	// meshCall is a sequence of calls that a request makes, and the one in progress.
 	meshCall struct {
 		request  *meshRequest
 		done     int
 		queuedAt time.Duration
 	}
 
-	// tally counts requests by the second in which they arrived.
+	// tally counts requests by the second of their arrival.
 	tally struct {
 		asked [60]int
 		good  [60]int
@@ -114,9 +114,9 @@
 	meshQueueWait = 250 * time.Millisecond
 	meshQueue     = 120
 	kneeFrom      = 0.95
-	// The gate's own, see offer.go.
-	meshOfferMemory = 400 * time.Millisecond
-	meshQueueDrain  = 300 * time.Millisecond
+	// Equal to the gate's constants, see offer.go.
+	meshLoadTimeConstant = 400 * time.Millisecond
+	meshQueueDrainTime   = 300 * time.Millisecond
 )
 
 var meshStart = time.Unix(1_800_000_000, 0)
@@ -131,8 +131,8 @@
 	return last
 }
 
-// newMesh is the load of a rope works at three quarters of its capacity:
-// look-ups and orders lead to the scheduler, certificates do not.
+// newMesh returns a mesh loaded to three quarters of its capacity. Look-ups and orders
+// call the scheduler, certificates do not.
 func newMesh(nodes int) *mesh {
 	m := &mesh{
 		kinds: []meshKind{
@@ -180,13 +180,13 @@
 		if m.now >= meshLength {
 			return
 		}
-		m.ask(kind)
+		m.issue(kind)
 		m.arrive(kind)
 	})
 }
 
 func (k *meshKind) lanes() int {
-	if k.together {
+	if k.parallel {
 		return 2
 	}
 	return 1
@@ -194,13 +194,13 @@
 
 func (m *mesh) time() time.Time { return meshStart.Add(m.now) }
 
-func (m *mesh) ask(kind *meshKind) {
+func (m *mesh) issue(kind *meshKind) {
 	m.served[kind.name].asked[int(m.now.Seconds())]++
 	r := &meshRequest{kind: kind, began: m.now}
 	if len(m.nodes) > 0 {
 		r.node = m.nodes[m.asked%len(m.nodes)]
 		m.asked++
-		if !m.letIn(r) {
+		if !m.allow(r) {
 			return
 		}
 	}
@@ -211,7 +211,7 @@
 	})
 }
 
-func (m *mesh) letIn(r *meshRequest) bool {
+func (m *mesh) allow(r *meshRequest) bool {
 	service := r.kind.name + "s"
 	if r.kind.direct {
 		service = scheduler
@@ -220,7 +220,7 @@
 	return r.node.throttle.Offer(m.time(), r.kind.name, r.kind.importance, m.random.Float64())
 }
 
-// next sends the next call of one lane of a request, or ends it.
+// next makes the next call of one sequence of a request, or ends it.
 func (m *mesh) next(c *meshCall) {
 	r := c.request
 	switch {
@@ -236,11 +236,11 @@
 	}
 }
 
-// offer is a call that arrives at the scheduler.
+// offer handles the arrival of a call at the scheduler.
 func (m *mesh) offer(c *meshCall) {
 	r := c.request
 	m.fadeOffered()
-	m.offered += m.callTime.Seconds() / meshOfferMemory.Seconds()
+	m.offered += m.callTime.Seconds() / meshLoadTimeConstant.Seconds()
 	switch {
 	case m.busy < m.slots:
 		m.serve(c)
@@ -256,14 +256,14 @@
 }
 
 func (m *mesh) fadeOffered() {
-	m.offered *= math.Exp(-(m.now - m.offeredAt).Seconds() / meshOfferMemory.Seconds())
+	m.offered *= math.Exp(-(m.now - m.offeredAt).Seconds() / meshLoadTimeConstant.Seconds())
 	m.offeredAt = m.now
 }
 
-// pressure is what the gates beside the scheduler's targets report.
+// pressure returns the pressure that the gates of the scheduler's targets report.
 func (m *mesh) pressure() float64 {
 	m.fadeOffered()
-	drain := float64(len(m.queue)) * m.callTime.Seconds() / meshQueueDrain.Seconds()
+	drain := float64(len(m.queue)) * m.callTime.Seconds() / meshQueueDrainTime.Seconds()
 	return (m.offered + drain) / float64(m.slots)
 }
 
@@ -315,16 +315,16 @@
 	r.ended = true
 	if r.node != nil {
 		r.node.throttle.Ended(m.time(), r.kind.name, end)
-		m.news(r)
+		m.report(r)
 	}
 }
 
-// news brings the scheduler's pressure to an entry node, as the answer of any kind
-// does, and that the kind leads there.
-func (m *mesh) news(r *meshRequest) {
+// report reports the scheduler's pressure to an entry node, as answers of every kind do,
+// and records that the kind calls the scheduler.
+func (m *mesh) report(r *meshRequest) {
 	heard := admit.Heard{Service: scheduler, Pressure: m.pressure()}
-	m.after(m.newsDelay, func() {
-		heard.Age = m.newsDelay
+	m.after(m.reportDelay, func() {
+		heard.Age = m.reportDelay
 		r.node.pressures.Hear(m.time(), heard)
 		if r.kind.calls > 0 && !r.kind.direct {
 			r.node.pressures.Leads(m.time(), r.kind.name, scheduler)
@@ -332,7 +332,7 @@
 	})
 }
 
-// share returns the part of a kind's requests of some seconds that ended well.
+// share returns the share of a kind's requests that succeeded, by second of arrival.
 func (m *mesh) share(kind string, from, until int) float64 {
 	asked, good := 0, 0
 	for second := from; second < until; second++ {
@@ -342,39 +342,39 @@
 	return float64(good) / float64(max(asked, 1))
 }
 
-// A surge of 1.8 asks the scheduler for 1.35 times what it can do. Without a
-// throttle every kind that leads there fails alike, and what is done for those
-// that fail is lost.
+// A surge of 1.8 offers the scheduler 1.35 times its capacity. Without a throttle, every
+// kind that calls the scheduler fails alike, and the work done for failed requests is
+// wasted.
 func TestSurgeIsHeldBackInOrder(t *testing.T) {
 	is := is.New(t)
 	pattern := []surge{{from: 5 * time.Second, until: 20 * time.Second, times: 1.8}}
-	naive, held := newMesh(0), newMesh(1)
-	naive.surges, held.surges = pattern, pattern
+	naive, throttled := newMesh(0), newMesh(1)
+	naive.surges, throttled.surges = pattern, pattern
 	naive.run()
-	held.run()
+	throttled.run()
 	for _, kind := range []string{"look_up", "order", "certificate"} {
-		t.Logf("%-12s surge: naive %.2f held %.2f; 2 s after it: naive %.2f held %.2f", kind,
-			naive.share(kind, 7, 20), held.share(kind, 7, 20), naive.share(kind, 22, 30), held.share(kind, 22, 30))
+		t.Logf("%-12s surge: naive %.2f throttled %.2f; 2 s after it: naive %.2f throttled %.2f", kind,
+			naive.share(kind, 7, 20), throttled.share(kind, 7, 20), naive.share(kind, 22, 30), throttled.share(kind, 22, 30))
 	}
-	is.True(naive.share("order", 7, 20) < 0.9) // the pattern is one that defeats a naive mesh
-	is.True(held.share("order", 7, 20) >= 0.9)
-	is.True(held.share("certificate", 7, 20) >= 0.97)
+	is.True(naive.share("order", 7, 20) < 0.9) // a naive mesh fails under this pattern
+	is.True(throttled.share("order", 7, 20) >= 0.9)
+	is.True(throttled.share("certificate", 7, 20) >= 0.97)
 	// Goodput of the bottleneck: 90% of its capacity of 2,675 calls a second.
-	is.True(5*(held.share("order", 7, 20)*180+held.share("look_up", 7, 20)*540) >= 0.9*2675)
+	is.True(5*(throttled.share("order", 7, 20)*180+throttled.share("look_up", 7, 20)*540) >= 0.9*2675)
 	for _, kind := range []string{"look_up", "order", "certificate"} {
-		is.True(held.share(kind, 22, 30) >= 0.95) // back within 2 s
+		is.True(throttled.share(kind, 22, 30) >= 0.95) // back within 2 s
 	}
 }
 
-// The same surge where news of the pressure is half a second old, as it is where it
-// travels up a chain with the answers: the shares neither swing nor leave slots free.
+// With reports of the pressure that are half a second old, as they are when sent up a
+// chain with the answers, the shares must neither oscillate nor leave slots free.
 func TestLateNewsOfPressure(t *testing.T) {
 	for _, times := range []float64{1.8, 2.5} {
 		t.Run(fmt.Sprint(times), func(t *testing.T) {
 			is := is.New(t)
 			m := newMesh(1)
 			m.surges = []surge{{from: 5 * time.Second, until: 25 * time.Second, times: times}}
-			m.newsDelay = 500 * time.Millisecond
+			m.reportDelay = 500 * time.Millisecond
 			m.run()
 			goodput := 5 * (m.share("order", 9, 25)*100*times + m.share("look_up", 9, 25)*300*times)
 			t.Logf("order %.2f, look_up %.2f, goodput %.0f of 2675", m.share("order", 9, 25), m.share("look_up", 9, 25), goodput)
@@ -385,9 +385,9 @@
 	}
 }
 
-// Bookings go to the scheduler itself and are served there ahead of the calls of
-// targets. They do well, so that to hold them back would help nobody, also while
-// there are next to no look-ups left to hold back.
+// Bookings call the scheduler directly and are served ahead of the calls of targets. They
+// succeed, so rejecting them would not relieve other kinds, even while there are hardly
+// any look-ups left to reject.
 func TestWhatDoesWellIsLetIn(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(1)
@@ -402,8 +402,8 @@
 	is.True(m.share("booking", 7, 20) >= 0.95)
 }
 
-// A scheduler that sheds half of its calls for no load is not helped by letting
-// in less, and comes back the moment it stops.
+// If the scheduler sheds half of its calls without overload, admitting fewer requests does
+// not help, and requests must succeed again as soon as the shedding ends.
 func TestFailuresWithoutPressureHoldNothingBack(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(1)
@@ -415,22 +415,22 @@
 	is.True(m.share("certificate", 5, 13) >= 0.97)
 }
 
-// Three of four targets of the scheduler are gone, and requests enter through
-// thirteen nodes, each of which sees few ends of a kind. What is left of the
-// scheduler can do seven tenths of the renewals beside the collections.
+// Three of the scheduler's four targets are lost, and requests enter through thirteen
+// nodes, each of which sees few requests of a kind end. The remaining capacity suffices
+// for the collections and seven tenths of the renewals.
 func TestFewEndsAtEachNode(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(13)
 	m.kinds = []meshKind{
 		{name: "round_view", importance: schema.Normal, perSecond: 180, work: 190 * time.Millisecond, calls: 4, deadline: time.Second},
-		{name: "renewal", importance: schema.Critical, perSecond: 90, work: 225 * time.Millisecond, calls: 8, together: true, deadline: 1200 * time.Millisecond},
+		{name: "renewal", importance: schema.Critical, perSecond: 90, work: 225 * time.Millisecond, calls: 8, parallel: true, deadline: 1200 * time.Millisecond},
 		{name: "collection", importance: schema.High, perSecond: 60, calls: 1, deadline: 800 * time.Millisecond, direct: true},
 	}
 	m.served = map[string]*tally{"round_view": {}, "renewal": {}, "collection": {}}
 	m.announced = 35
 	m.slots = admit.Usable(m.announced)
 	m.callTime = 57 * time.Millisecond
-	m.newsDelay = 200 * time.Millisecond
+	m.reportDelay = 200 * time.Millisecond
 	m.knee = 1.3
 	m.run()
 	goodput := 8*m.share("renewal", 5, 40)*90 + 4*m.share("round_view", 5, 40)*180 + m.share("collection", 5, 40)*60
@@ -462,18 +462,18 @@
 	is.Equal(throttle.Share("order"), 1.0)
 }
 
-// pressed is a throttle with one kind, of which a request comes every 20 ms.
-type pressed struct {
+// throttleFixture is a throttle with one kind, of which a request arrives every 20 ms.
+type throttleFixture struct {
 	throttle *admit.Throttle
 	now      time.Time
 }
 
-func newPressed() *pressed {
-	return &pressed{throttle: admit.NewThrottle(), now: time.Unix(1_800_000_000, 0)}
+func newThrottleFixture() *throttleFixture {
+	return &throttleFixture{throttle: admit.NewThrottle(), now: time.Unix(1_800_000_000, 0)}
 }
 
-// spell lets time pass under a pressure, while all that is let in ends the same way.
-func (p *pressed) spell(d time.Duration, pressure admit.Pressure, end admit.End) {
+// runFor simulates a duration under a pressure in which all admitted requests end alike.
+func (p *throttleFixture) runFor(d time.Duration, pressure admit.Pressure, end admit.End) {
 	for until := p.now.Add(d); p.now.Before(until); p.now = p.now.Add(20 * time.Millisecond) {
 		p.throttle.Press(p.now, "look-up", pressure)
 		if p.throttle.Offer(p.now, "look-up", schema.Low, 0) {
@@ -482,37 +482,37 @@
 	}
 }
 
-func (p *pressed) share() float64 {
+func (p *throttleFixture) share() float64 {
 	return p.throttle.Share("look-up")
 }
 
-// A kind whose own service is full for a while, since calls that wait for a service below
-// keep its slots, is let in again once they have given way, though the one below is full
-// still.
+// A kind may be rejected because calls of other kinds occupy its own service's slots while
+// they wait for a full service downstream. Once those calls are gone, the kind must be
+// admitted again, although the downstream service is still full.
 func TestVictimOfAFullServiceBelowIsLetInAgain(t *testing.T) {
 	is := is.New(t)
-	one := newPressed()
-	one.spell(time.Second, admit.Pressure{Own: 0.5, Below: 1.5}, admit.Good)
-	one.spell(2*time.Second, admit.Pressure{Own: 1.3, Below: 1.5}, admit.NoRoom)
-	is.True(one.share() < 0.5) // its own service was full
-	one.spell(3*time.Second, admit.Pressure{Own: 0.8, Below: 1.5}, admit.Good)
+	one := newThrottleFixture()
+	one.runFor(time.Second, admit.Pressure{Own: 0.5, Below: 1.5}, admit.Good)
+	one.runFor(2*time.Second, admit.Pressure{Own: 1.3, Below: 1.5}, admit.NoRoom)
+	is.True(one.share() < 0.5) // its own service is full
+	one.runFor(3*time.Second, admit.Pressure{Own: 0.8, Below: 1.5}, admit.Good)
 	is.True(one.share() > 0.9)
 
-	one.spell(2*time.Second, admit.Pressure{Own: 0.8, Below: 1.5}, admit.Overrun)
-	is.True(one.share() < 0.5) // this one meets the bottleneck
+	one.runFor(2*time.Second, admit.Pressure{Own: 0.8, Below: 1.5}, admit.Overrun)
+	is.True(one.share() < 0.5) // now the kind itself meets the bottleneck
 }
 
-// A kind that was cut far in the first moments of a surge gets the room that is left soon
-// after: of few that are let in, a quarter of all within two seconds, where the more
-// urgent kinds leave a fifth of the service free.
-func TestCutKindGetsTheRoomThatIsLeft(t *testing.T) {
+// A kind that was cut sharply at the start of a surge must take up the spare capacity soon
+// after: if more important kinds leave a fifth of the service free, its share rises from
+// below a tenth to a quarter within two seconds.
+func TestCutKindTakesUpSpareCapacity(t *testing.T) {
 	is := is.New(t)
-	one := newPressed()
-	one.spell(time.Second, admit.Pressure{Below: 0.5}, admit.Good)
-	one.spell(2*time.Second, admit.Pressure{Below: 2.5}, admit.Overrun)
+	one := newThrottleFixture()
+	one.runFor(time.Second, admit.Pressure{Below: 0.5}, admit.Good)
+	one.runFor(2*time.Second, admit.Pressure{Below: 2.5}, admit.Overrun)
 	cut := one.share()
 	is.True(cut < 0.1)
-	one.spell(2*time.Second, admit.Pressure{Below: 0.8}, admit.Good)
+	one.runFor(2*time.Second, admit.Pressure{Below: 0.8}, admit.Good)
 	t.Logf("%.2f after the cut, %.2f two seconds later", cut, one.share())
 	is.True(one.share() >= 0.25)
 }
--- a/internal/admit/times.go
+++ b/internal/admit/times.go
@@ -6,47 +6,49 @@
 )
 
 const (
+	// meanWeight is the weight of a call in the mean of its kind, and maxMeanWeight and
+	// minMeanWeight bound its weight in the mean over all kinds.
 	meanWeight    = 0.1
 	maxMeanWeight = 0.5
 	minMeanWeight = 0.02
 )
 
 type (
-	// times estimates how long calls occupy a slot.
-	times struct {
-		// all is the mean over calls of every kind, in seconds.
-		all    float64
-		byKind map[string]estimate
+	// serviceTimes estimates how long calls occupy a slot, which is their service time.
+	serviceTimes struct {
+		// overall is the mean over calls of every kind, in seconds; 0 while unknown.
+		overall float64
+		byKind  map[string]timeEstimate
 	}
 
-	// estimate holds a smoothed mean and mean deviation, in seconds.
-	estimate struct {
+	// timeEstimate holds a smoothed mean and mean deviation, in seconds.
+	timeEstimate struct {
 		mean      float64
 		deviation float64
 	}
 )
 
-func newTimes() times {
-	return times{byKind: map[string]estimate{}}
+func newServiceTimes() serviceTimes {
+	return serviceTimes{byKind: map[string]timeEstimate{}}
 }
 
-// observe takes in one call. The overall mean forgets within one round of the
-// slots, so that it follows a change of speed as fast as calls end. A call that
-// was cut short would have taken longer; it tells of its kind only when it took
-// longer than expected already.
-func (t *times) observe(kind string, took time.Duration, cut bool, limit int) {
+// observe adds the service time of one call. The weight of a call in the overall mean
+// depends on the limit, so that the mean follows a change of speed within about as many
+// calls as fit into the slots at once. A call that was cut short would have taken
+// longer; it counts for its kind only if it has already taken longer than the mean.
+func (t *serviceTimes) observe(kind string, took time.Duration, cut bool, limit int) {
 	seconds := took.Seconds()
 	weight := min(max(2/float64(limit+1), minMeanWeight), maxMeanWeight)
-	if t.all == 0 {
-		t.all = seconds
+	if t.overall == 0 {
+		t.overall = seconds
 	}
-	t.all += weight * (seconds - t.all)
+	t.overall += weight * (seconds - t.overall)
 	e, ok := t.byKind[kind]
 	if cut && seconds < e.mean {
 		return
 	}
 	if !ok {
-		e = estimate{mean: seconds}
+		e = timeEstimate{mean: seconds}
 	}
 	difference := seconds - e.mean
 	e.mean += meanWeight * difference
@@ -54,34 +56,34 @@
 	t.byKind[kind] = e
 }
 
-// keep forgets the kinds that are not declared.
-func (t *times) keep(declared func(kind string) bool) {
-	maps.DeleteFunc(t.byKind, func(kind string, _ estimate) bool { return !declared(kind) })
+// retain discards the kinds that are no longer declared.
+func (t *serviceTimes) retain(declared func(kind string) bool) {
+	maps.DeleteFunc(t.byKind, func(kind string, _ timeEstimate) bool { return !declared(kind) })
 }
 
-// mean returns the mean time over all kinds in seconds, 0 while unknown.
-func (t *times) mean() float64 {
-	return t.all
+// overallMean returns the mean service time over all kinds in seconds, or 0 while unknown.
+func (t *serviceTimes) overallMean() float64 {
+	return t.overall
 }
 
-// usual returns the mean time of a kind, 0 while unknown.
-func (t *times) usual(kind string) time.Duration {
+// kindMean returns the mean service time of a kind, or 0 while unknown.
+func (t *serviceTimes) kindMean(kind string) time.Duration {
 	return time.Duration(t.byKind[kind].mean * float64(time.Second))
 }
 
-// expected returns the mean time of a kind in seconds, that of all kinds while it is
-// unknown.
-func (t *times) expected(kind string) float64 {
+// expected returns the mean service time of a kind in seconds, or that of all kinds
+// while it is unknown.
+func (t *serviceTimes) expected(kind string) float64 {
 	if e, ok := t.byKind[kind]; ok {
 		return e.mean
 	}
-	return t.all
+	return t.overall
 }
 
-// leastExpected returns a time that most calls of the kind take at least. A
-// call is given up only against this lower estimate: a kind whose times
-// spread widely may still end soon.
-func (t *times) leastExpected(kind string) time.Duration {
+// lowEstimate returns a low estimate of the service time of a kind, the mean less the
+// mean deviation, which most calls exceed. Calls are rejected for their deadline only
+// by this estimate, because a call of a kind with widely varying times may end soon.
+func (t *serviceTimes) lowEstimate(kind string) time.Duration {
 	e := t.byKind[kind]
 	return time.Duration(max(0, e.mean-e.deviation) * float64(time.Second))
 }
