--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -3,12 +3,11 @@
 //
 // A Gate belongs to one target. It admits, queues or rejects each call and
 // measures how many calls the target completes. From that it derives a floor:
-// the order below which calls would be rejected anyway. A Door belongs to the
-// entry node of a request. It knows the floors of the services along the
-// request's call chain and rejects at the entry what would be rejected
-// downstream, before any work is spent on it. A Throttle limits the share of
-// each kind of request that an entry node admits, by the pressure on the
-// services that the kind calls.
+// the order below which calls would be rejected anyway. The entry node of a
+// request knows the floors of the services along the request's call chain and
+// rejects at the entry what would be rejected downstream, before any work is
+// spent on it. A Throttle limits the share of each kind of request that an
+// entry node admits, by the pressure on the services that the kind calls.
 //
 // The package has no clock and performs no I/O: the caller passes in the time
 // and carries out the decisions. No type is safe for concurrent use.
--- a/internal/admit/door.go
+++ b/internal/admit/door.go
@@ -40,7 +40,7 @@
 	}
 )
 
-// NewDoor returns a Door that allows every request until it learns of floors.
+// NewDoor returns an empty set of floors, which allows every request.
 func NewDoor() *Door {
 	return &Door{levels: map[string]map[string]floorSample{}, combine: lowerQuartile}
 }
--- a/internal/admit/pressure.go
+++ b/internal/admit/pressure.go
@@ -51,12 +51,12 @@
 }
 
 // Hear stores the reported pressure of a service unless a newer one is stored already.
-func (p *Pressures) Hear(now time.Time, heard Heard) {
-	at := now.Add(-max(heard.Age, 0))
-	if at.Before(p.samples[heard.Service].at) {
+func (p *Pressures) Hear(now time.Time, report Heard) {
+	at := now.Add(-max(report.Age, 0))
+	if at.Before(p.samples[report.Service].at) {
 		return
 	}
-	p.samples[heard.Service] = pressureSample{pressure: heard.Pressure, at: at}
+	p.samples[report.Service] = pressureSample{pressure: report.Pressure, at: at}
 }
 
 // Leads records that requests of a kind call a service downstream of the kind's own.
@@ -87,18 +87,18 @@
 
 // Told returns the reports to send with an answer, the highest pressure first.
 func (p *Pressures) Told(now time.Time) []Heard {
-	var told []Heard
+	var reports []Heard
 	for service, m := range p.samples {
 		if m.pressure < minReportedPressure || now.Sub(m.at) >= pressureFresh {
 			continue
 		}
-		if len(told) == maxReports && m.pressure <= told[maxReports-1].Pressure {
+		if len(reports) == maxReports && m.pressure <= reports[maxReports-1].Pressure {
 			continue
 		}
-		told = append(told[:min(len(told), maxReports-1)], Heard{Service: service, Pressure: m.pressure, Age: now.Sub(m.at)})
-		slices.SortFunc(told, func(a, b Heard) int { return cmp.Compare(b.Pressure, a.Pressure) })
+		reports = append(reports[:min(len(reports), maxReports-1)], Heard{Service: service, Pressure: m.pressure, Age: now.Sub(m.at)})
+		slices.SortFunc(reports, func(a, b Heard) int { return cmp.Compare(b.Pressure, a.Pressure) })
 	}
-	return told
+	return reports
 }
 
 // Fresh returns the pressure of each service with an unexpired report.
--- a/internal/admit/pressure_test.go
+++ b/internal/admit/pressure_test.go
@@ -49,10 +49,10 @@
 	for i := range 10 {
 		p.Hear(now, admit.Heard{Service: fmt.Sprintf("s%d", i), Pressure: float64(i) / 5})
 	}
-	told := p.Told(now.Add(200 * time.Millisecond))
-	is.Equal(len(told), 4)
-	is.Equal(told[0], admit.Heard{Service: "s9", Pressure: 1.8, Age: 200 * time.Millisecond})
-	is.Equal(told[3].Service, "s6")
+	reports := p.Told(now.Add(200 * time.Millisecond))
+	is.Equal(len(reports), 4)
+	is.Equal(reports[0], admit.Heard{Service: "s9", Pressure: 1.8, Age: 200 * time.Millisecond})
+	is.Equal(reports[3].Service, "s6")
 	is.Equal(len(p.Told(now.Add(time.Second))), 0)
 }
 
--- a/internal/admit/throttle.go
+++ b/internal/admit/throttle.go
@@ -255,8 +255,8 @@
 
 // lessImportantCanYield reports whether a less important kind that also calls a full
 // service can still be cut instead of k.
-func lessImportantCanYield(now time.Time, below []*kindState, k *kindState) bool {
-	for _, other := range below {
+func lessImportantCanYield(now time.Time, lessImportant []*kindState, k *kindState) bool {
+	for _, other := range lessImportant {
 		if other.importance < k.importance && other.effectivePressure(now) > fullPressure && other.share > minShare {
 			return true
 		}
--- a/internal/admit/throttle_test.go
+++ b/internal/admit/throttle_test.go
@@ -315,17 +315,17 @@
 	r.ended = true
 	if r.node != nil {
 		r.node.throttle.Ended(m.time(), r.kind.name, end)
-		m.report(r)
+		m.sendReport(r)
 	}
 }
 
-// report reports the scheduler's pressure to an entry node, as answers of every kind do,
+// sendReport reports the scheduler's pressure to an entry node, as answers of every kind do,
 // and records that the kind calls the scheduler.
-func (m *mesh) report(r *meshRequest) {
-	heard := admit.Heard{Service: scheduler, Pressure: m.pressure()}
+func (m *mesh) sendReport(r *meshRequest) {
+	report := admit.Heard{Service: scheduler, Pressure: m.pressure()}
 	m.after(m.reportDelay, func() {
-		heard.Age = m.reportDelay
-		r.node.pressures.Hear(m.time(), heard)
+		report.Age = m.reportDelay
+		r.node.pressures.Hear(m.time(), report)
 		if r.kind.calls > 0 && !r.kind.direct {
 			r.node.pressures.Leads(m.time(), r.kind.name, scheduler)
 		}
