--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -12,49 +12,49 @@
 
 // Node holds the settings of one node process. Addresses are IP:port.
 type Node struct {
-	// Name is unique in the mesh; a new incarnation keeps the name of the old.
+	// Name is unique in the mesh. A new incarnation of a node keeps the name.
 	Name       string
 	DataCentre string
 	Region     string
 	// Service is the declared service of the target beside the node.
 	Service string
-	// CallerListen takes requests of callers and of the target itself.
+	// CallerListen accepts requests of callers and of the target itself.
 	CallerListen string
-	// RelayListen takes calls of other nodes.
+	// RelayListen accepts calls of other nodes.
 	RelayListen string
-	// RelayAddress is where other nodes reach RelayListen. It is announced to
-	// them, and differs from it on a host behind a translated address.
+	// RelayAddress is where other nodes reach RelayListen. It is announced to them, and
+	// differs from RelayListen on a host behind address translation.
 	RelayAddress string
-	// RelayFrom is the IP number that calls to other nodes go out from; empty
-	// leaves the choice to the system.
+	// RelayFrom is the source IP address of calls to other nodes. If empty, the system
+	// chooses the address.
 	RelayFrom string
-	// ReadyListen answers whether the node takes requests, and ControlListen the
-	// heartbeats of the target beside it; empty for neither.
+	// ReadyListen serves the readiness endpoint, and ControlListen accepts the heartbeats
+	// of the target beside the node. Each is disabled if empty.
 	ReadyListen   string
 	ControlListen string
-	// AdminListen takes the resource API and the metrics.
+	// AdminListen serves the resource API and the metrics.
 	AdminListen     string
 	TargetAddress   string
 	PlatformAddress string
-	// OperatorToken is what operators show to the resource API; empty lets
-	// everybody in.
+	// OperatorToken authenticates operators to the resource API. If empty, the API
+	// accepts every request.
 	OperatorToken string
 	// LogLevel is trace, debug, info, warn or error.
 	LogLevel string
 	// DrainTimeout is how long a planned stop waits for calls in flight.
 	DrainTimeout time.Duration
-	// RetryShare is the most that repeats may add to the calls of a service where
-	// its declaration does not say; 0 stands for the declaration's default.
+	// RetryShare is the maximum share that retries may add to the calls of a service
+	// whose declaration sets none. 0 selects the declaration's default.
 	RetryShare float64
-	// RetryWindow and RetrySlack make RetryShare a budget that all nodes share: in
-	// any window the repeats that reach a service stay below its share of the
-	// requests plus the slack. 0 stands for a budget of each node.
+	// RetryWindow and RetrySlack turn RetryShare into a budget that all nodes share: in
+	// any window, the retries that reach a service stay below its share of the requests
+	// plus the slack. 0 selects a separate budget for each node.
 	RetryWindow time.Duration
 	RetrySlack  int
 	// MemoryBytes bounds what the node holds for calls and records together.
 	MemoryBytes int64
-	// Reloads brings the settings anew each time the file was read again; nil when
-	// nobody reads it again. It is no key of the file.
+	// Reloads delivers the new settings each time the file is read again. It is nil if
+	// the file is read only once, and is no key of the file.
 	Reloads <-chan *Node
 }
 
@@ -63,32 +63,32 @@
 
 // The bounds and defaults of the settings.
 const (
-	minTokenLetters = "16"
+	minTokenLength  = "16"
 	maxDrainTimeout = time.Hour
 	minRetryWindow  = time.Second
 	maxRetrySlack   = 1_000_000
-	// minMemoryBytes and defaultMemory follow from 121 calls/s with answers of
-	// 512 bytes, one in ten with a key, see docs/CAPACITY.md: the default holds
-	// all records inside 64 MB a node, and the least refuses no call, though it
-	// drops answers before their time.
-	minMemoryBytes   = 16 << 20
-	defaultMemory    = 36 << 20
-	maxMemoryBytes   = 1 << 40
-	defaultDrain     = 30 * time.Second
-	defaultLogLevel  = "info"
-	namesExpectation = "a name of at most 63 lower-case letters, digits, _, - and ."
+	// minMemoryBytes and defaultMemoryBytes follow from 121 calls/s with answers of 512
+	// bytes, one in ten with a key (see docs/CAPACITY.md). The default holds all records
+	// within 64 MB a node. The minimum refuses no call, but drops answers before the end
+	// of their retention.
+	minMemoryBytes      = 16 << 20
+	defaultMemoryBytes  = 36 << 20
+	maxMemoryBytes      = 1 << 40
+	defaultDrainTimeout = 30 * time.Second
+	defaultLogLevel     = "info"
+	nameFormat          = "a name of at most 63 lower-case letters, digits, _, - and ."
 )
 
 var (
 	namePattern  = regexp.MustCompile(`^[a-z][a-z0-9_.-]{0,62}$`)
-	tokenPattern = regexp.MustCompile(`^[!-~]{` + minTokenLetters + `,256}$`)
+	tokenPattern = regexp.MustCompile(`^[!-~]{` + minTokenLength + `,256}$`)
 	// anyPort matches an address whose port the system chooses.
 	anyPort   = regexp.MustCompile(`:0$`)
 	logLevels = []string{"trace", "debug", "info", "warn", "error"}
 )
 
-// Load reads the settings from a file. The error lists all problems with
-// their lines and columns as place.Problems, unless the file cannot be read.
+// Load reads the settings from a file. Unless the file cannot be read, the error is a
+// place.Problems that lists all problems with their lines and columns.
 func Load(file string) (*Node, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -109,8 +109,8 @@
 	}
 	node := &Node{
 		LogLevel:     defaultLogLevel,
-		DrainTimeout: defaultDrain,
-		MemoryBytes:  defaultMemory,
+		DrainTimeout: defaultDrainTimeout,
+		MemoryBytes:  defaultMemoryBytes,
 	}
 	object := reader.Object(documents[0], node.fields())
 	checkListen(reader, object)
@@ -138,7 +138,7 @@
 		{Key: "ready_listen", Read: place.Listen(&n.ReadyListen)},
 		{Key: "control_listen", Read: place.Listen(&n.ControlListen)},
 		{Key: "relay_address", Read: place.Address(&n.RelayAddress)},
-		{Key: "relay_from", Read: ipNumber(&n.RelayFrom)},
+		{Key: "relay_from", Read: ipAddress(&n.RelayFrom)},
 		{Key: "operator_token", Read: token(&n.OperatorToken)},
 		{Key: "log_level", Read: level(&n.LogLevel)},
 		{Key: "retry_share", Read: place.Float(&n.RetryShare, 0, 1)},
@@ -149,9 +149,9 @@
 	}
 }
 
-// checkListen reports an address that two listeners would share. Port 0 takes
-// any free port, so it may stand twice. The announced address leads to the
-// relay listener, so it may not be that of another one.
+// checkListen reports an address that two keys share. Port 0 selects any free port, so it
+// may occur twice. The announced relay address leads to the relay listener, so it must
+// not equal the address of another one.
 func checkListen(reader *place.Reader, object place.Object) {
 	taken := map[string]string{}
 	for _, key := range []string{"caller_listen", "relay_listen", "admin_listen", "ready_listen", "control_listen", "target_address", "relay_address"} {
@@ -172,27 +172,27 @@
 }
 
 func name(to *string) func(*place.Reader, place.Value) {
-	return place.Match(to, namePattern, namesExpectation)
+	return place.Match(to, namePattern, nameFormat)
 }
 
-// ipNumber reads an IP number of this host.
-func ipNumber(to *string) func(*place.Reader, place.Value) {
+// ipAddress reads an IP address of this host.
+func ipAddress(to *string) func(*place.Reader, place.Value) {
 	return func(r *place.Reader, value place.Value) {
 		address, err := netip.ParseAddr(value.Node.Value)
 		if err != nil || address.IsUnspecified() || address.Zone() != "" {
-			r.Report(value, "an IP number of this host (such as 10.0.0.7)")
+			r.Report(value, "an IP address of this host (such as 10.0.0.7)")
 			return
 		}
 		*to = address.String()
 	}
 }
 
-// token reads the operators' token without repeating a wrong one in the error,
-// which may end in a log.
+// token reads the operators' token. The error does not repeat an invalid token, since it
+// may be logged.
 func token(to *string) func(*place.Reader, place.Value) {
 	return func(r *place.Reader, value place.Value) {
 		if !tokenPattern.MatchString(value.Node.Value) {
-			r.ReportSecret(value, "a token of "+minTokenLetters+" to 256 letters without spaces")
+			r.ReportSecret(value, "a token of "+minTokenLength+" to 256 letters without spaces")
 			return
 		}
 		*to = value.Node.Value
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestParse runs the files under testdata: a file of settings, and what it
-// gives or every problem with its place.
+// TestParse runs the files under testdata: each case has a settings file, and the
+// resulting settings or every problem with its position.
 func TestParse(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(_ *testing.T, d *datadriven.TestData) string {
