--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -1,5 +1,5 @@
-// Package trail keeps logs bounded: the lines of one class that go out in a
-// period, and the wait for whoever reads them.
+// Package trail bounds logging: the lines of one class that are written in a period, and
+// the wait for a slow reader of the log.
 package trail
 
 import (
@@ -10,24 +10,24 @@
 )
 
 type (
-	// Limiter lets a number of lines of each class out in each period. It is safe
+	// Limiter allows a limited number of lines of each class in each period. It is safe
 	// for concurrent use.
 	Limiter struct {
-		most   int
-		period time.Duration
+		maxLines int
+		period   time.Duration
 
 		mu      sync.Mutex
-		classes map[string]*class
+		classes map[string]*lineClass
 	}
 
-	class struct {
-		began   time.Time
-		lines   int
-		leftOut int
+	lineClass struct {
+		periodStart time.Time
+		lines       int
+		suppressed  int
 	}
 
-	// Writer hands lines to another writer without ever waiting for it. Lines that
-	// find its buffer full are dropped and counted.
+	// Writer passes lines to another writer without ever waiting for it. Lines that do
+	// not fit into its buffer are dropped and counted.
 	Writer struct {
 		out   io.Writer
 		lines chan string
@@ -39,47 +39,48 @@
 	}
 )
 
-// bufferedLines is how many lines wait for a slow reader: some two seconds of a
+// bufferLines is how many lines are buffered for a slow reader: about two seconds of a
 // node under full load.
-const bufferedLines = 1024
+const bufferLines = 1024
 
-// NewLimiter returns a limiter for that many lines of each class in a period.
-func NewLimiter(most int, period time.Duration) *Limiter {
-	return &Limiter{most: most, period: period, classes: map[string]*class{}}
+// NewLimiter returns a limiter that allows up to maxLines lines of each class in a
+// period.
+func NewLimiter(maxLines int, period time.Duration) *Limiter {
+	return &Limiter{maxLines: maxLines, period: period, classes: map[string]*lineClass{}}
 }
 
-// Allow says whether a line may go out, and how many of its class were left out
-// since the last one that did.
-func (l *Limiter) Allow(now time.Time, name string) (leftOut int, ok bool) {
+// Allow reports whether a line may be written, and how many of its class were suppressed
+// since the last one that was.
+func (l *Limiter) Allow(now time.Time, className string) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := l.classes[name]
+	c := l.classes[className]
 	if c == nil {
-		c = &class{began: now}
-		l.classes[name] = c
+		c = &lineClass{periodStart: now}
+		l.classes[className] = c
 	}
-	if now.Sub(c.began) >= l.period {
-		c.began = now
+	if now.Sub(c.periodStart) >= l.period {
+		c.periodStart = now
 		c.lines = 0
 	}
-	if c.lines >= l.most {
-		c.leftOut++
+	if c.lines >= l.maxLines {
+		c.suppressed++
 		return 0, false
 	}
 	c.lines++
-	leftOut = c.leftOut
-	c.leftOut = 0
-	return leftOut, true
+	suppressed = c.suppressed
+	c.suppressed = 0
+	return suppressed, true
 }
 
-// NewWriter returns a writer that writes to out from a goroutine of its own.
+// NewWriter returns a Writer that writes to out from its own goroutine.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan string, bufferedLines), done: make(chan struct{})}
+	w := &Writer{out: out, lines: make(chan string, bufferLines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes one line. It never fails, since nobody could log that.
+// Write queues one line. It never fails, since nobody could log the failure.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,7 +88,7 @@
 		return len(line), nil
 	}
 	select {
-	case w.lines <- w.notice() + string(line):
+	case w.lines <- w.droppedNotice() + string(line):
 		w.dropped = 0
 	default:
 		w.dropped++
@@ -95,16 +96,17 @@
 	return len(line), nil
 }
 
-// notice says how many lines were dropped before the one that goes out.
-func (w *Writer) notice() string {
+// droppedNotice returns a line with the number of lines dropped so far, or nothing if
+// there are none.
+func (w *Writer) droppedNotice() string {
 	if w.dropped == 0 {
 		return ""
 	}
 	return "level=warn module=trail event=lines_dropped count=" + strconv.Itoa(w.dropped) + "\n"
 }
 
-// Close waits until what was taken is written, for the patience at most.
-func (w *Writer) Close(patience time.Duration) {
+// Close waits until the queued lines are written, up to the timeout.
+func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	if !w.closed {
 		w.closed = true
@@ -113,14 +115,14 @@
 	w.mu.Unlock()
 	select {
 	case <-w.done:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 }
 
 func (w *Writer) run() {
 	defer close(w.done)
 	for line := range w.lines {
-		// Where the output is gone there is nobody left to tell.
+		// An error means that the output is gone, so the error cannot be reported.
 		_, _ = io.WriteString(w.out, line)
 	}
 }
--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -13,14 +13,14 @@
 	"github.com/dandelionfield/dandelionfield/internal/trail"
 )
 
-// stuck is an output whose reader has stopped until it is released.
-type stuck struct {
+// blockedOutput is an output whose reader has stopped until it is released.
+type blockedOutput struct {
 	mu      sync.Mutex
 	release chan struct{}
 	text    bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedOutput) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,16 +39,16 @@
 	}
 	is.Equal(out, 20) // ten thousand in a second
 	_, ok := limiter.Allow(now, "timed_out")
-	is.True(ok) // another class has lines of its own
-	leftOut, ok := limiter.Allow(now.Add(1100*time.Millisecond), "refused")
+	is.True(ok) // another class has its own limit
+	suppressed, ok := limiter.Allow(now.Add(1100*time.Millisecond), "refused")
 	is.True(ok)
-	is.Equal(leftOut, 9980)
+	is.Equal(suppressed, 9980)
 }
 
-// A reader that stops costs lines, which are counted, and never the writer's time.
+// A reader that stops may cost lines, which are counted, but must never block the writer.
 func TestStoppedReaderCostsLinesOnly(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{release: make(chan struct{})}
+	out := &blockedOutput{release: make(chan struct{})}
 	writer := trail.NewWriter(out)
 	written := make(chan struct{})
 	const lines = 50_000
@@ -58,7 +58,7 @@
 			_, _ = fmt.Fprintf(writer, "line=%d\n", i)
 		}
 	}()
-	<-written // would wait for ever if it waited for the reader
+	<-written // would block forever if Write waited for the reader
 	close(out.release)
 	writer.Close(10 * time.Second)
 	kept := strings.Count(out.text.String(), "line=")
@@ -69,7 +69,7 @@
 
 func TestDroppedLinesAreSaidWithTheNextOne(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{release: make(chan struct{})}
+	out := &blockedOutput{release: make(chan struct{})}
 	writer := trail.NewWriter(out)
 	for range 5_000 {
 		_, _ = writer.Write([]byte("line\n"))
@@ -84,7 +84,7 @@
 	is.True(strings.HasSuffix(out.text.String(), "last\n"))
 }
 
-func (s *stuck) lines() []string {
+func (s *blockedOutput) lines() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.Split(s.text.String(), "\n")
