--- a/internal/metric/alerts_test.go
+++ b/internal/metric/alerts_test.go
@@ -15,8 +15,8 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// alerts is the usual format of rules.
-type alerts struct {
+// alertRules is the Prometheus format of alerting rules.
+type alertRules struct {
 	Groups []struct {
 		Name  string
 		Rules []struct {
@@ -30,18 +30,18 @@
 }
 
 var (
-	// describedAs finds the name and the labels in the text of a description.
-	describedAs = regexp.MustCompile(`fqName: "(\w+)".*variableLabels: \{([\w,]*)\}`)
-	// used finds a metric of a rule with the labels that it is selected by.
-	used = regexp.MustCompile(`(dandelionfield_\w+)(?:\{([^}]*)\})?`)
-	// matcher finds one selection by a label.
-	matcher = regexp.MustCompile(`(\w+)(?:=~|!~|!=|=)"([^"]*)"`)
-	// grouping finds the labels that a sum keeps.
-	grouping = regexp.MustCompile(`by \(([\w, ]+)\)`)
+	// descriptorPattern finds the name and the labels in the text of a metric descriptor.
+	descriptorPattern = regexp.MustCompile(`fqName: "(\w+)".*variableLabels: \{([\w,]*)\}`)
+	// metricPattern finds a metric in an expression, with its label matchers.
+	metricPattern = regexp.MustCompile(`(dandelionfield_\w+)(?:\{([^}]*)\})?`)
+	// labelMatcherPattern finds one label matcher.
+	labelMatcherPattern = regexp.MustCompile(`(\w+)(?:=~|!~|!=|=)"([^"]*)"`)
+	// groupByPattern finds the labels of a by clause.
+	groupByPattern = regexp.MustCompile(`by \(([\w, ]+)\)`)
 )
 
-// described returns the labels of every metric of a node.
-func described() map[string][]string {
+// labelsByMetric returns the labels of every metric of a node.
+func labelsByMetric() map[string][]string {
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
 		New().Registry.Describe(descriptions)
@@ -49,30 +49,31 @@
 	}()
 	labels := map[string][]string{}
 	for description := range descriptions {
-		if found := describedAs.FindStringSubmatch(description.String()); found != nil {
+		if found := descriptorPattern.FindStringSubmatch(description.String()); found != nil {
 			labels[found[1]] = strings.Split(found[2], ",")
 		}
 	}
 	return labels
 }
 
-// unknown returns what an expression names that no node has.
-func unknown(expression string) []string {
-	known := described()
+// unknownInExpression returns the metrics, labels and label values of an expression that
+// no node exports.
+func unknownInExpression(expression string) []string {
+	known := labelsByMetric()
 	var missing []string
-	for _, metric := range used.FindAllStringSubmatch(expression, -1) {
+	for _, metric := range metricPattern.FindAllStringSubmatch(expression, -1) {
 		labels, ok := known[metric[1]]
 		if !ok {
 			missing = append(missing, metric[1])
 		}
-		wanted := matcher.FindAllStringSubmatch(metric[2], -1)
+		wanted := labelMatcherPattern.FindAllStringSubmatch(metric[2], -1)
 		for _, selection := range wanted {
 			if !slices.Contains(labels, selection[1]) {
 				missing = append(missing, metric[1]+" by "+selection[1])
 			}
 			missing = append(missing, unknownCodes(metric[1], selection)...)
 		}
-		for _, group := range grouping.FindAllStringSubmatch(expression, -1) {
+		for _, group := range groupByPattern.FindAllStringSubmatch(expression, -1) {
 			for _, label := range strings.Split(group[1], ", ") {
 				if !slices.Contains(labels, label) {
 					missing = append(missing, metric[1]+" by "+label)
@@ -83,8 +84,8 @@
 	return missing
 }
 
-// unknownCodes returns the values of reasons and results that are no result codes.
-// Repeats are also denied for reasons of their own.
+// unknownCodes returns the values of reason and result labels that are not result codes.
+// Denied retries and refusals also have reasons of their own.
 func unknownCodes(metric string, selection []string) []string {
 	own := map[string][]string{
 		"dandelionfield_retries_denied_total": {"tokens", "deadline", "allowance", "budget"},
@@ -104,41 +105,41 @@
 	return missing
 }
 
-// TestAlertsNameWhatThereIs reads the rules: every metric exists with its labels and
-// values, and the page for operators has the same rules.
+// TestAlertsNameWhatThereIs checks that every metric in the example rules exists with its
+// labels and values, and that the page for operators has the same rules.
 func TestAlertsNameWhatThereIs(t *testing.T) {
 	is := is.New(t)
 	document, err := os.ReadFile("../../examples/alerts.yaml")
 	is.NoErr(err)
 	page, err := os.ReadFile("../../docs/operators.md")
 	is.NoErr(err)
-	var rules alerts
+	var rules alertRules
 	decoder := yaml.NewDecoder(strings.NewReader(string(document)))
 	decoder.KnownFields(true)
 	is.NoErr(decoder.Decode(&rules))
 	is.Equal(len(rules.Groups), 1)
 	is.True(len(rules.Groups[0].Rules) > 0)
 	for _, rule := range rules.Groups[0].Rules {
-		is.Equal(unknown(rule.Expr), nil)          // each metric and label exists
-		is.True(used.MatchString(rule.Expr))       // a rule is about the nodes
-		is.True(rule.For > 0)                      // no alert for a moment
-		is.True(rule.Annotations["summary"] != "") // it says what it means
+		is.Equal(unknownInExpression(rule.Expr), nil) // each metric and label exists
+		is.True(metricPattern.MatchString(rule.Expr)) // a rule uses a metric of the nodes
+		is.True(rule.For > 0)                         // no alert on a momentary value
+		is.True(rule.Annotations["summary"] != "")    // has a description
 		is.True(rule.Labels["severity"] == "page" || rule.Labels["severity"] == "ticket")
 		row := "| `" + rule.Alert + "` (" + rule.Labels["severity"] + ") | `" + strings.ReplaceAll(rule.Expr, "|", `\|`) + "` for "
 		if !strings.Contains(string(page), row) {
-			t.Errorf("the page lacks the row %s", row)
+			t.Errorf("docs/operators.md lacks the row %s", row)
 		}
 	}
 	is.Equal(strings.Count(string(page), "| `Dandelionfield"), len(rules.Groups[0].Rules))
 }
 
-// Refusals of every kind of node tell of overload, and so do repeats that are held
-// back, whatever budget they come from.
+// The alerts must cover the reasons with which any kind of node refuses calls, and denied
+// retries, whichever budget denies them.
 func TestAlertsCoverEveryWayOfRefusing(t *testing.T) {
 	is := is.New(t)
 	document, err := os.ReadFile("../../examples/alerts.yaml")
 	is.NoErr(err)
-	var rules alerts
+	var rules alertRules
 	is.NoErr(yaml.Unmarshal(document, &rules))
 	selected := map[string]string{}
 	for _, rule := range rules.Groups[0].Rules {
@@ -152,11 +153,12 @@
 	}
 }
 
-// TestUnknownMetricsAreFound makes the mistakes that the rules must not have.
+// TestUnknownMetricsAreFound checks that the mistakes that the rules must not have are
+// found.
 func TestUnknownMetricsAreFound(t *testing.T) {
 	is := is.New(t)
-	is.Equal(unknown(`dandelionfield_revisions == 0`), []string{"dandelionfield_revisions"})
-	is.Equal(unknown(`dandelionfield_refusals_total{kind="a"}`), []string{"dandelionfield_refusals_total by kind"})
-	is.Equal(unknown(`dandelionfield_refusals_total{reason=~"evicted|overload"}`), []string{"overload"})
-	is.Equal(unknown(`sum by (node) (dandelionfield_members)`), []string{"dandelionfield_members by node"})
+	is.Equal(unknownInExpression(`dandelionfield_revisions == 0`), []string{"dandelionfield_revisions"})
+	is.Equal(unknownInExpression(`dandelionfield_refusals_total{kind="a"}`), []string{"dandelionfield_refusals_total by kind"})
+	is.Equal(unknownInExpression(`dandelionfield_refusals_total{reason=~"evicted|overload"}`), []string{"overload"})
+	is.Equal(unknownInExpression(`sum by (node) (dandelionfield_members)`), []string{"dandelionfield_members by node"})
 }
--- a/internal/metric/bench_test.go
+++ b/internal/metric/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/dandelionfield/dandelionfield/internal/metric"
 )
 
-// BenchmarkScrape measures one reading of all metrics of a node that has seen
-// a number of services, with six kinds each and four results of a kind.
+// BenchmarkScrape measures one scrape of all metrics of a node that has seen a number of
+// services, with six kinds each and four results per kind.
 func BenchmarkScrape(b *testing.B) {
 	for _, services := range []int{4, 14, 27, 54} {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) {
--- a/internal/metric/kinds.go
+++ b/internal/metric/kinds.go
@@ -2,20 +2,20 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Keep takes in which kinds are declared, and no longer shows the others: names of
-// kinds come and go with declarations, and each holds some sixty series. A request that
-// was under way may bring a kind back, so that it is dropped once more the next time.
+// Keep removes the series of kinds that are not declared: kinds come and go with
+// declarations, and each has some sixty series. A request in flight may recreate the
+// series of a kind, so they are removed once more at the next call.
 func (s *Set) Keep(declared []string) {
 	kinds := make(map[string]bool, len(declared))
 	for _, kind := range declared {
 		kinds[kind] = true
 	}
-	for kind, was := range s.kinds {
+	for kind, wasDeclared := range s.kinds {
 		if kinds[kind] {
 			continue
 		}
 		s.dropKind(kind)
-		if was {
+		if wasDeclared {
 			kinds[kind] = false
 		}
 	}
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -1,4 +1,4 @@
-// Package metric holds the counters and gauges of a node.
+// Package metric defines the metrics of a node.
 package metric
 
 import (
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// Set is every metric of one node, in a registry of its own.
+// Set holds all metrics of one node, in a registry of its own.
 type Set struct {
 	Registry *prometheus.Registry
 
@@ -20,7 +20,8 @@
 	Replayed      prometheus.Counter
 	TargetStops   prometheus.Counter
 	RelaySeconds  *prometheus.HistogramVec
-	// RequestSeconds, QueueSeconds and TargetSeconds tell the parts of the way.
+	// RequestSeconds covers a request as a whole, QueueSeconds the wait of an attempt
+	// beside the target, and TargetSeconds the time that the target takes.
 	RequestSeconds *prometheus.HistogramVec
 	QueueSeconds   *prometheus.HistogramVec
 	TargetSeconds  *prometheus.HistogramVec
@@ -34,27 +35,26 @@
 	HeldBytes      prometheus.Gauge
 	TargetHealth   prometheus.Gauge
 	RecordBytes    prometheus.Gauge
-	// BookUse is how much of the room for records of attempts is taken, and
-	// TimerLate how late the node's own timers fire, which tells of a lack of
-	// processor time.
+	// BookUse is the used share of the capacity for records of attempts, and TimerLate
+	// how late the node's own timers fire, which indicates a lack of processor time.
 	BookUse   prometheus.Gauge
 	TimerLate prometheus.Histogram
-	// These follow what a status shows of this node.
+	// These mirror what a status shows of this node.
 	TargetStopped    *prometheus.GaugeVec
 	UnownedKeyShare  *prometheus.GaugeVec
 	PendingHandovers prometheus.Gauge
 	PlatformSilent   prometheus.Gauge
-	// Pressure and Admitted are what the throttle goes by and what it decided.
-	Pressure *Levels
-	Admitted *Levels
-	// kinds are those that were declared, and whether they still are.
+	// Pressure is the input of the throttle, and Admitted its output.
+	Pressure *DynamicGauge
+	Admitted *DynamicGauge
+	// kinds holds each known kind and whether it is still declared.
 	kinds map[string]bool
 }
 
 const namespace = "dandelionfield"
 
-// Throttled is the reason of refusals by the throttle at the entry, which have the
-// result of all that a door turns away.
+// Throttled is the reason of refusals by the throttle at the entry. Their result code is
+// the same as for all other refusals at the entry.
 const Throttled = "throttled"
 
 // New returns the metrics of one node, registered together with the usual
@@ -95,8 +95,8 @@
 	s.UnownedKeyShare = gauges("unowned_key_share", "Share of fresh idempotency keys without a living owner, of the node's own service.", "service")
 	s.PendingHandovers = gauge("pending_handovers", "Handovers taken over that the owner plan does not show yet.")
 	s.PlatformSilent = gauge("platform_silent_seconds", "Time since the platform last answered; 0 while it answers.")
-	s.Pressure = newLevels("service_pressure", "Load offered to a service over what it takes, as far as this node has heard of late; above 1 it is full.", "service")
-	s.Admitted = newLevels("admitted_share", "Share of the requests of a kind that this node lets in.", "kind")
+	s.Pressure = newDynamicGauge("service_pressure", "Load offered to a service over what it takes, as far as this node has heard of late; above 1 it is full.", "service")
+	s.Admitted = newDynamicGauge("admitted_share", "Share of the requests of a kind that this node lets in.", "kind")
 	s.kinds = map[string]bool{}
 	s.register()
 	return s
@@ -122,7 +122,7 @@
 	return prometheus.NewCounterVec(options(name, help), labels)
 }
 
-// histograms cover a millisecond to eight seconds.
+// histograms returns a histogram with buckets from 1 ms to 8 s.
 func histograms(name, help string, labels ...string) *prometheus.HistogramVec {
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: namespace,
