--- a/internal/heap/heap.go
+++ b/internal/heap/heap.go
@@ -1,5 +1,5 @@
-// Package heap sets how eagerly the garbage collector works: thrifty with memory
-// while a node is calm, and thrifty with processor time while it is busy.
+// Package heap tunes the garbage collector to the load of a node: it saves memory at low
+// load and processor time at high load.
 package heap
 
 import (
@@ -14,82 +14,82 @@
 )
 
 const (
-	// CalmPercent lets the heap grow by eight tenths before it is collected: a node
-	// has a tight budget of memory and mostly uses little of its processor time.
-	CalmPercent = 80
-	// BusyPercent takes its place in a surge, when time that the collector takes is
-	// time for which calls wait; but the heap grows by busyRoom, in bytes, at most.
-	BusyPercent = 150
-	busyRoom    = 32 << 20
+	// LowLoadPercent lets the heap grow by 80% before a collection: a node has a tight
+	// memory budget and mostly uses little of its processor time.
+	LowLoadPercent = 80
+	// HighLoadPercent replaces LowLoadPercent at high load, when calls wait for the time
+	// that the collector takes. The heap then grows by highLoadGrowth bytes at most.
+	HighLoadPercent = 150
+	highLoadGrowth  = 32 << 20
 
-	lookPeriod = 2 * time.Second
-	// busyMarked is how many bytes the collector follows in a period on a busy node,
-	// and calmMarked how many on a calm one, where the heap grows further.
-	// That is what it costs; a node with much in use has few collections, and dear
-	// ones. A load in between leaves it as it is, so that a steady one does not change
-	// it to and fro.
-	busyMarked = 80 << 20
-	calmMarked = 28 << 20
+	samplePeriod = 2 * time.Second
+	// A node is under high load if the collector marks at least highLoadMarked bytes in a
+	// sample period, and returns to low load at lowLoadMarked bytes or less, while the
+	// larger heap of high load is in force. The marked bytes measure the cost of
+	// collections: a node with much memory in use has few collections, but expensive
+	// ones. A load between the two bounds keeps the percentage, so that a steady load
+	// does not make it oscillate.
+	highLoadMarked = 80 << 20
+	lowLoadMarked  = 28 << 20
 
 	cyclesMetric = "/gc/cycles/total:gc-cycles"
 	liveMetric   = "/gc/heap/live:bytes"
 )
 
 type (
-	// Collector decides how far the heap grows between collections.
-	Collector struct {
-		busy   bool
-		cycles uint64
+	// Tuner decides how far the heap grows between collections.
+	Tuner struct {
+		highLoad bool
+		cycles   uint64
 	}
 
-	// State is what the runtime tells: how many collections there have been, and how
-	// many bytes were in use after the last.
-	State struct {
+	// GCStats holds the number of collections so far, and how many bytes were in use
+	// after the last one.
+	GCStats struct {
 		Cycles uint64
 		Live   uint64
 	}
 )
 
-// New returns the collector of a calm node in a state.
-func New(state State) *Collector {
-	return &Collector{cycles: state.Cycles}
+// New returns a tuner in the low-load state, given the statistics at its start.
+func New(stats GCStats) *Tuner {
+	return &Tuner{cycles: stats.Cycles}
 }
 
-// Next takes in the state one period after the last time, and returns the percentage
-// by which the heap grows from now on.
-func (c *Collector) Next(state State) int {
-	marked := (state.Cycles - c.cycles) * state.Live
-	c.cycles = state.Cycles
+// Next takes the statistics one sample period after the previous ones, and returns the
+// percentage by which the heap grows from now on.
+func (t *Tuner) Next(stats GCStats) int {
+	marked := (stats.Cycles - t.cycles) * stats.Live
+	t.cycles = stats.Cycles
 	switch {
-	case marked >= busyMarked:
-		c.busy = true
-	case marked <= calmMarked:
-		c.busy = false
+	case marked >= highLoadMarked:
+		t.highLoad = true
+	case marked <= lowLoadMarked:
+		t.highLoad = false
 	}
-	if !c.busy {
-		return CalmPercent
+	if !t.highLoad {
+		return LowLoadPercent
 	}
-	room := 100 * busyRoom / max(state.Live, 1)
-	return int(max(min(room, BusyPercent), CalmPercent))
+	growthPercent := 100 * highLoadGrowth / max(stats.Live, 1)
+	return int(max(min(growthPercent, HighLoadPercent), LowLoadPercent))
 }
 
-// Start puts the calm percentage in force.
-func Start() {
-	debug.SetGCPercent(CalmPercent)
+// SetInitialPercent sets the percentage for low load.
+func SetInitialPercent() {
+	debug.SetGCPercent(LowLoadPercent)
 }
 
-// Run keeps the garbage collector of the process to what the load asks for until
-// the context ends.
+// Run adjusts the garbage collector of the process to the load until the context ends.
 func Run(ctx context.Context, clk clock.Clock, log hclog.Logger) {
-	collector := New(read())
-	percent := CalmPercent
+	tuner := New(readStats())
+	percent := LowLoadPercent
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-clk.After(lookPeriod):
+		case <-clk.After(samplePeriod):
 		}
-		next := collector.Next(read())
+		next := tuner.Next(readStats())
 		if next == percent {
 			continue
 		}
@@ -99,8 +99,8 @@
 	}
 }
 
-func read() State {
+func readStats() GCStats {
 	samples := []metrics.Sample{{Name: cyclesMetric}, {Name: liveMetric}}
 	metrics.Read(samples)
-	return State{Cycles: samples[0].Value.Uint64(), Live: samples[1].Value.Uint64()}
+	return GCStats{Cycles: samples[0].Value.Uint64(), Live: samples[1].Value.Uint64()}
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -19,10 +19,11 @@
 )
 
 const (
-	// reportTimeout bounds how long a status waits for members that are silent.
+	// reportTimeout bounds how long a status request waits for members that do not
+	// answer.
 	reportTimeout = time.Second
-	// reportsAtOnce is how many members a status asks at the same time.
-	reportsAtOnce = 64
+	// maxConcurrentReports is how many members a status request queries at the same time.
+	maxConcurrentReports = 64
 )
 
 func (n *Node) adminServer() *admin.Server {
@@ -45,7 +46,7 @@
 	}
 }
 
-// ready says whether the node takes work.
+// ready reports whether the node accepts requests.
 func (n *Node) ready() bool {
 	return n.prepared() && n.members.Self().State == member.Active
 }
@@ -74,7 +75,8 @@
 	return admin.Applied{Revision: revision.Number, Digest: revision.Digest}, nil
 }
 
-// rollback accepts the document of a former revision anew. A dry run loads it.
+// rollback commits the document of an earlier revision as a new revision. A dry run only
+// loads the document and compares it with the revision in force.
 func (n *Node) rollback(ctx context.Context, number, expected int64, dryRun bool) (admin.Applied, error) {
 	inForce, before, _ := n.current()
 	if before == nil {
@@ -98,11 +100,11 @@
 	return admin.Applied{Revision: revision.Number, Digest: revision.Digest, Changes: before.Diff(revision.Set)}, nil
 }
 
-// describe is the node's status.
+// describe returns the node's status.
 func (n *Node) describe(ctx context.Context) admin.Status {
 	self := n.members.Self()
 	now := n.clock.Now()
-	reachable, silent := n.platform.state(now)
+	reachable, silent := n.platform.reachability(now)
 	status := admin.Status{
 		Node:              n.settings.Name,
 		Incarnation:       n.incarnation,
@@ -113,15 +115,15 @@
 		RevisionAgeMS:     n.status.age(now).Milliseconds(),
 		PlatformReachable: reachable,
 		PlatformSilentMS:  silent.Milliseconds(),
-		Refusals:          counts(n.metrics.Refusals, "reason"),
-		Retries:           counts(n.metrics.Retries, "reason"),
+		Refusals:          countsByLabel(n.metrics.Refusals, "reason"),
+		Retries:           countsByLabel(n.metrics.Retries, "reason"),
 	}
 	if current := n.config.Current(); current != nil {
 		status.Revision = current.Number
 		status.Digest = current.Digest
 	}
 	members := n.members.All()
-	reports := n.gatherReports(ctx, members)
+	reports := n.collectReports(ctx, members)
 	if current := n.config.Current(); current != nil {
 		status.Services = n.describeServices(current.Set, reports, now)
 	}
@@ -146,8 +148,9 @@
 	}
 }
 
-// showState sets the metrics of what a status shows of this node and its service.
-func (n *Node) showState(now time.Time) {
+// updateStateMetrics sets the metrics that mirror the status of this node and its
+// service.
+func (n *Node) updateStateMetrics(now time.Time) {
 	service := n.settings.Service
 	stopped := 0.0
 	if n.local.Load().Stopped > 0 {
@@ -155,27 +158,26 @@
 	}
 	n.metrics.TargetStopped.WithLabelValues(service).Set(stopped)
 	share := 0.0
-	if lost := unowned(n.plans.get(service), n.living(service), now); lost != nil {
+	if lost := unowned(n.plans.get(service), n.liveIncarnations(service), now); lost != nil {
 		share = float64(lost.Slots) / float64(lost.Of)
 	}
 	n.metrics.UnownedKeyShare.WithLabelValues(service).Set(share)
 	n.metrics.PendingHandovers.Set(float64(len(n.takeovers.due(now))))
-	_, silent := n.platform.state(now)
+	_, silent := n.platform.reachability(now)
 	n.metrics.PlatformSilent.Set(silent.Seconds())
 }
 
-// living returns the incarnations of the service that are members.
-func (n *Node) living(service string) map[string]bool {
-	living := map[string]bool{}
+// liveIncarnations returns the incarnations of the service that are members.
+func (n *Node) liveIncarnations(service string) map[string]bool {
+	liveIncarnations := map[string]bool{}
 	for _, m := range n.members.Service(service) {
-		living[m.Incarnation] = true
+		liveIncarnations[m.Incarnation] = true
 	}
-	return living
+	return liveIncarnations
 }
 
-// describeServices takes the load of every target from the report of the node
-// beside it, so that the status does not depend on which targets this node has
-// called itself.
+// describeServices takes the load of each target from the report of the node beside it,
+// so that the status does not depend on which targets this node has called itself.
 func (n *Node) describeServices(set *schema.Set, reports map[string]*relaypb.ReportResponse, now time.Time) []admin.Service {
 	services := make([]admin.Service, 0, len(set.Services))
 	for _, declared := range set.Services {
@@ -184,14 +186,14 @@
 		for _, m := range n.members.Service(declared.Name) {
 			service.Targets = append(service.Targets, describeTarget(m, reports[m.Incarnation], ejected[m.Incarnation]))
 		}
-		service.Unowned = unowned(n.plans.get(declared.Name), n.living(declared.Name), now)
+		service.Unowned = unowned(n.plans.get(declared.Name), n.liveIncarnations(declared.Name), now)
 		services = append(services, service)
 	}
 	return services
 }
 
-// unowned returns the part of the keys minted now whose keeper does not live, or
-// nil when there is none.
+// unowned describes the part of the keys minted now that has no live owner. It returns
+// nil if every key has one.
 func unowned(plan once.Plan, living map[string]bool, now time.Time) *admin.Unowned {
 	lost := &admin.Unowned{Of: len(plan.Slots), Lost: []string{}}
 	var last int64
@@ -212,8 +214,9 @@
 	return lost
 }
 
-// ownedFrom says whether a slot's keys of this time have a living keeper, and
-// otherwise until when they have none. It adds the holders that do not live.
+// ownedFrom reports whether the keys of a slot that are minted at nowMS have a live owner
+// and, if not, until when they have none. It appends the names of holders that are not
+// alive to lost.
 func ownedFrom(slot once.Slot, living map[string]bool, nowMS int64, lost *[]string) (untilMS int64, owned bool) {
 	untilMS = nowMS
 	for _, holding := range slot.Holdings {
@@ -245,7 +248,7 @@
 	return target
 }
 
-// ejected returns the incarnations that this node sends no calls to for now.
+// ejected returns for each incarnation whether this node currently sends it no calls.
 func (n *Node) ejected(service string, now time.Time) map[string]bool {
 	ejected := map[string]bool{}
 	for _, state := range n.sender.Targets(service) {
@@ -254,15 +257,15 @@
 	return ejected
 }
 
-// gatherReports asks all members for their reports at the same time; one that
-// does not answer has none.
-func (n *Node) gatherReports(ctx context.Context, members []member.Member) map[string]*relaypb.ReportResponse {
+// collectReports requests the reports of all members concurrently. A member that does not
+// answer within reportTimeout is absent from the result.
+func (n *Node) collectReports(ctx context.Context, members []member.Member) map[string]*relaypb.ReportResponse {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	reports := map[string]*relaypb.ReportResponse{}
 	var group errgroup.Group
-	group.SetLimit(reportsAtOnce)
+	group.SetLimit(maxConcurrentReports)
 	for _, m := range members {
 		group.Go(func() error {
 			response, err := n.client.Control(m.RelayAddress).Report(ctx, connect.NewRequest(&relaypb.ReportRequest{}))
@@ -286,8 +289,8 @@
 	return state.String()
 }
 
-// counts adds up a counter by one of its labels.
-func counts(counter *prometheus.CounterVec, label string) []admin.Count {
+// countsByLabel sums a counter for each value of one label.
+func countsByLabel(counter *prometheus.CounterVec, label string) []admin.Count {
 	metrics := make(chan prometheus.Metric)
 	go func() {
 		counter.Collect(metrics)
--- a/internal/node/book_test.go
+++ b/internal/node/book_test.go
@@ -16,22 +16,22 @@
 	"github.com/dandelionfield/dandelionfield/internal/setup"
 )
 
-// A scheduler's node takes 1,000 attempts a second in a surge. Its book of
-// attempts must not fill up, since a full book refuses every attempt.
+// Guards against the attempt records filling up in a surge, when a scheduler's node takes
+// 1,000 attempts a second: with full records every attempt is refused.
 func TestBookHoldsASurge(t *testing.T) {
 	is := is.New(t)
 	store := plat.NewMemory().Store()
 	n := New(&setup.Node{Name: "node", MemoryBytes: 48 << 20}, hclog.NewNullLogger(), clock.System{}, Doors{
 		Store:   &store,
-		Control: heartbeatsOf,
+		Control: silentControl,
 	})
-	settings := n.bookSettings(n.settings.MemoryBytes / bookShare)
+	settings := n.attemptRecordSettings(n.settings.MemoryBytes / recordMemoryDivisor)
 	book := fate.New[*relaypb.CarryResponse](settings)
 	start := time.Now()
 	for second := range 90 {
 		now := start.Add(time.Duration(second) * time.Second)
 		for range 1000 {
-			id := mintedAt(now)
+			id := attemptIDMintedAt(now)
 			verdict, _ := book.Begin(now, id)
 			if verdict != fate.Fresh {
 				t.Fatalf("verdict %v in second %d", verdict, second)
@@ -41,25 +41,26 @@
 		book.Forget(now)
 	}
 	is.Equal(book.Stats().Refused, int64(0))
-	is.True(book.Stats().Bytes <= n.settings.MemoryBytes/bookShare)
+	is.True(book.Stats().Bytes <= n.settings.MemoryBytes/recordMemoryDivisor)
 }
 
-// Four targets of the deepest service get 8,700 calls a second between them on an
-// ordinary day, and one of the four may be gone in a surge of 1.7.
+// The four targets of the deepest service get 8,700 calls a second between them on an
+// ordinary day. In a surge of 1.7 times that with one of the four gone, each of the
+// others gets about 5,000.
 func TestBookHoldsTheBusiestService(t *testing.T) {
 	const perSecond = 5000
 	is := is.New(t)
 	store := plat.NewMemory().Store()
 	n := New(&setup.Node{Name: "node", MemoryBytes: 48 << 20}, hclog.NewNullLogger(), clock.System{}, Doors{
 		Store:   &store,
-		Control: heartbeatsOf,
+		Control: silentControl,
 	})
-	book := fate.New[*relaypb.CarryResponse](n.bookSettings(n.settings.MemoryBytes / bookShare))
+	book := fate.New[*relaypb.CarryResponse](n.attemptRecordSettings(n.settings.MemoryBytes / recordMemoryDivisor))
 	start := time.Now()
 	for second := range 60 {
 		now := start.Add(time.Duration(second) * time.Second)
 		for range perSecond {
-			id := mintedAt(now)
+			id := attemptIDMintedAt(now)
 			if verdict, _ := book.Begin(now, id); verdict != fate.Fresh {
 				t.Fatalf("verdict %v in second %d", verdict, second)
 			}
@@ -67,11 +68,11 @@
 		}
 		book.Forget(now)
 	}
-	is.True(book.Stats().Bytes <= n.settings.MemoryBytes/bookShare)
+	is.True(book.Stats().Bytes <= n.settings.MemoryBytes/recordMemoryDivisor)
 }
 
-// mintedAt returns a fresh id that was minted at a time.
-func mintedAt(at time.Time) string {
+// attemptIDMintedAt returns a fresh attempt id that was minted at the given time.
+func attemptIDMintedAt(at time.Time) string {
 	id := uuid.Must(uuid.NewV7())
 	ms := at.UnixMilli()
 	for i := range 6 {
@@ -80,7 +81,7 @@
 	return id.String()
 }
 
-// heartbeatsOf is the door of a target that never says anything.
-func heartbeatsOf(Announce) http.Handler {
+// silentControl returns the control handler of a target that never announces itself.
+func silentControl(Announce) http.Handler {
 	return http.NotFoundHandler()
 }
--- a/internal/node/doors.go
+++ b/internal/node/doors.go
@@ -17,36 +17,37 @@
 )
 
 type (
-	// Doors are a node's ways to its surroundings, where they are not the
-	// project's own. A zero field stands for the own way.
+	// Doors holds the implementations through which a node reaches its surroundings. A
+	// zero field selects the project's own implementation.
 	Doors struct {
-		// Store is the platform.
+		// Store accesses the platform.
 		Store *plat.Store
-		// Source follows the configuration that operators write on the platform,
-		// and Parse reads it.
+		// Source waits for the next configuration that operators write on the platform,
+		// and Parse decodes its document.
 		Source func(ctx context.Context, wait time.Duration) (*config.Revision, error)
 		Parse  func(document []byte) (*schema.Set, error)
-		// Callers answers the requests of callers and targets with the chain.
+		// Callers returns the handler that answers requests of callers and targets
+		// through the filter chain.
 		Callers func(chain filter.Next) func(ctx context.Context, request *http.Request) *ahead.Answer
 		// Refuse answers a request that could not be read.
 		Refuse func(status int, reason string) *ahead.Answer
-		// Target is how the target is spoken with.
+		// Target is the protocol that is spoken with the target.
 		Target local.Wire
-		// Control serves the target that announces itself, at the address of the
-		// settings' control_listen.
+		// Control returns the handler for the heartbeats of a target that announces
+		// itself. It is served at the address of the setting control_listen.
 		Control func(announce Announce) http.Handler
 	}
 
-	// Announce is what a target can tell its node. Each returns once the node
-	// itself acts by it.
+	// Announce holds the callbacks for what a target reports to its node. Each returns
+	// once the node acts on the report.
 	Announce struct {
 		Beat   func(b beat.Beat) beat.Verdict
 		Depart func(id string, bornMS int64)
 	}
 )
 
-// orOwn fills in the project's own ways.
-func (d Doors) orOwn() Doors {
+// withDefaults sets unset fields to the project's own implementations.
+func (d Doors) withDefaults() Doors {
 	if d.Parse == nil {
 		d.Parse = parseDocument
 	}
@@ -59,12 +60,12 @@
 	return d
 }
 
-// callerServer serves callers and the target's own calls.
+// callerServer returns the server for requests of callers and calls of the target.
 func (n *Node) callerServer() *ahead.Server {
-	chain := filter.Chain(n.inward().Filters(), n.end)
+	chain := filter.Chain(n.inboundFilters().Filters(), n.dispatch)
 	return &ahead.Server{
-		Handle: n.doors.Callers(chain),
-		Refuse: n.doors.Refuse,
+		Handle: n.adapters.Callers(chain),
+		Refuse: n.adapters.Refuse,
 		Log:    n.log.Named("ahead"),
 		Bounds: func() ahead.Bounds {
 			limits := n.limits()
@@ -78,17 +79,18 @@
 	}
 }
 
-// serveDoors starts the servers of the addresses that only some settings have.
-func (n *Node) serveDoors(s *servers, bound *listeners) {
+// serveOptional starts the servers whose listeners are optional in the settings.
+func (n *Node) serveOptional(s *servers, bound *listeners) {
 	if bound.ready != nil {
 		s.start(bound.ready, &http.Server{Handler: n.readyHandler()})
 	}
-	if bound.control != nil && n.doors.Control != nil {
-		s.start(bound.control, &http.Server{Handler: n.doors.Control(n.announce())})
+	if bound.control != nil && n.adapters.Control != nil {
+		s.start(bound.control, &http.Server{Handler: n.adapters.Control(n.announce())})
 	}
 }
 
-// readyHandler answers any question with 200 while the node takes requests.
+// readyHandler answers every request with 200 while the node accepts requests, and with
+// 503 otherwise.
 func (n *Node) readyHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !n.ready() {
@@ -97,7 +99,7 @@
 	})
 }
 
-// listenOptional binds an address that need not be set.
+// listenOptional binds an address unless the address is empty.
 func listenOptional(address string, into *net.Listener) error {
 	if address == "" {
 		return nil
@@ -110,12 +112,12 @@
 	return nil
 }
 
-// queueFactor is how many calls may wait for each slot of a target that announced
-// itself. The time that a call may wait bounds the queue more tightly where calls
-// take long.
+// queueFactor is how many calls may be queued for each slot of a target that announces
+// itself. Where calls take long, the limit on the queue wait bounds the queue more
+// tightly.
 const queueFactor = 3
 
-// announcedSettings are the gate's settings for a target that announced itself.
+// announcedSettings returns the admission settings for a target that announces itself.
 func (n *Node) announcedSettings(target beat.Target) admit.Settings {
 	settings := n.gateSettings(n.declared(n.settings.Service))
 	if target.Slots > 0 {
@@ -123,8 +125,8 @@
 		settings.Queue = queueFactor * settings.Slots
 	}
 	settings.Opaque = true
-	// A target that warms up is slow, but has all its slots; the choice between
-	// targets goes by the work that each has in hand.
+	// A target that is warming up is slow but has all its slots. Routing accounts for the
+	// slowness, since it chooses between targets by their work in flight.
 	settings.ColdStart = 0
 	return settings
 }
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// healthPeriod is how often the target's health endpoint is read, and the
-	// metrics of what a status shows are set.
+	// healthPeriod is how often the target's health endpoint is polled and the metrics
+	// that mirror the node's status are set.
 	healthPeriod = 2 * time.Second
-	// healthTimeout bounds one reading; a probe takes about 6 ms.
+	// healthTimeout bounds one poll; a probe takes about 6 ms.
 	healthTimeout = 500 * time.Millisecond
 )
 
-// watchHealth shows in the metrics what the target's health endpoint says. It
-// decides nothing, because such endpoints lag behind and mislead: a target is
+// watchHealth publishes the state of the target's health endpoint as a metric. Nothing is
+// decided by that state, because such endpoints lag behind and mislead: a target is
 // judged by the calls to it.
 func (n *Node) watchHealth(ctx context.Context) {
 	client := &http.Client{Timeout: healthTimeout}
@@ -25,15 +25,14 @@
 			return
 		case <-n.clock.After(healthPeriod):
 		}
-		n.showState(n.clock.Now())
+		n.updateStateMetrics(n.clock.Now())
 		if path := n.declared(n.settings.Service).HealthPath; path != "" {
 			n.metrics.TargetHealth.Set(readHealth(ctx, client, "http://"+n.settings.TargetAddress+path))
 		}
 	}
 }
 
-// readHealth returns 1 for an endpoint that answers with a status of success,
-// and 0 for all else.
+// readHealth returns 1 if the endpoint answers with a status below 300, and 0 otherwise.
 func readHealth(ctx context.Context, client *http.Client, url string) float64 {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
--- a/internal/node/heir.go
+++ b/internal/node/heir.go
@@ -9,15 +9,16 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
-// takeovers are the incarnations whose records this node has taken over, with
-// the time of that, until the plan names it as their keeper.
+// takeovers holds the incarnations whose records this node has imported, with the time of
+// the import, until the plan names this node as the owner of the records.
 type takeovers struct {
 	mu   sync.Mutex
 	from map[string]time.Time
 }
 
-// takeOver imports the records of a leaving node.
-func (n *Node) takeOver(request *relaypb.HandoverRequest) bool {
+// importRecords imports the records of a leaving node and reports whether they were
+// accepted.
+func (n *Node) importRecords(request *relaypb.HandoverRequest) bool {
 	if request.ToIncarnation != n.incarnation || n.leaving.Load() {
 		return false
 	}
@@ -31,16 +32,16 @@
 	return accepted
 }
 
-// finishTakeovers writes into the plan that this node keeps the records that it
-// has taken over. The node that went does so itself, unless the platform was down
-// all the while; its keys would then have no owner until its lease ends.
+// finishTakeovers commits to the plan that this node owns the records it has imported.
+// The leaving node normally does so itself, but cannot if the platform is unavailable
+// until it stops; its keys would then have no owner until its lease expires.
 func (n *Node) finishTakeovers(ctx context.Context) {
 	for _, incarnation := range n.takeovers.due(n.clock.Now()) {
 		from := once.Node{Incarnation: incarnation}
 		change := func(now time.Time, plan once.Plan) (once.Plan, bool) {
 			return once.HandOver(now, plan, from, n.owner(), ownerRules(n.limits()))
 		}
-		// An older plan may not name the incarnation yet.
+		// The plan known locally may be too old to name the incarnation.
 		if n.config.PollPlan(ctx) != nil || !n.changePlan(ctx, change) {
 			return
 		}
@@ -58,13 +59,13 @@
 	t.from[incarnation] = now
 }
 
-// due returns the incarnations that were taken over some time ago.
+// due returns the incarnations whose records were imported at least takeoverDelay ago.
 func (t *takeovers) due(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var incarnations []string
 	for incarnation, taken := range t.from {
-		if now.Sub(taken) >= takeoverPatience {
+		if now.Sub(taken) >= takeoverDelay {
 			incarnations = append(incarnations, incarnation)
 		}
 	}
--- a/internal/node/kinds_test.go
+++ b/internal/node/kinds_test.go
@@ -15,8 +15,8 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// Kinds are declared, get requests and are removed, many times over. What a node knows
-// and shows of them stays in the bounds of what is declared.
+// Guards against leaks when kinds are declared, get requests and are removed, many times
+// over: the state and metrics of a node must stay bounded by the declared kinds.
 func TestRemovedKindsAreForgotten(t *testing.T) {
 	is := is.New(t)
 	const changes = 30
@@ -38,7 +38,7 @@
 		n.sender.Ended(&kind, result.OK)
 		n.metrics.Requests.WithLabelValues(kind.Name, result.OK.String()).Inc()
 		n.metrics.RequestSeconds.WithLabelValues(kind.Name).Observe(1)
-		if number > 1 { // a request of the kind before ends late
+		if number > 1 { // a request of the previous kind ends late
 			n.metrics.Requests.WithLabelValues(fmt.Sprint("kind-", number-1), result.OK.String()).Inc()
 		}
 	}
@@ -49,7 +49,7 @@
 	for _, family := range families {
 		series[family.GetName()] = len(family.GetMetric())
 	}
-	is.Equal(series["dandelionfield_requests_total"], 2) // of the last kind, and the late one
+	is.Equal(series["dandelionfield_requests_total"], 2) // the last kind and that of the late request
 	is.Equal(series["dandelionfield_request_seconds"], 1)
 	is.Equal(series["dandelionfield_admitted_share"], 1)
 }
--- a/internal/node/leave.go
+++ b/internal/node/leave.go
@@ -9,43 +9,44 @@
 )
 
 const (
-	// minLeaveGrace is the least time for which a leaving node takes work.
+	// minLeaveGrace is the minimum time for which a leaving node accepts requests.
 	minLeaveGrace = time.Second
-	// newsTime is how long news takes to reach every node.
-	newsTime = 500 * time.Millisecond
-	// handoverGrace is how long a node that has handed over its records still
-	// answers, while the others learn who keeps them now.
+	// propagationTime is how long a membership update takes to reach every node.
+	propagationTime = 500 * time.Millisecond
+	// handoverGrace is how long a node that has handed over its records still answers,
+	// while the other nodes learn of the new owner.
 	handoverGrace = time.Second
-	// noticeTime is how long callers take to notice that a node is not ready: they
-	// ask once a second and go after two answers.
-	noticeTime = 2200 * time.Millisecond
-	// lullTime without a request means that callers have gone.
-	lullTime = 400 * time.Millisecond
-	// doorShare is the share of the drain timeout after which requests that still
-	// come are refused unsent, so that those before them can end; and lateShare the
-	// one after which those are that may take longer than the rest of it. Callers
-	// have had the time to go elsewhere then.
-	doorShare = 0.5
-	lateShare = 1.0 / 3
-	// lullPeriod is how often it is looked for a lull.
-	lullPeriod = 50 * time.Millisecond
-	// departTimeout bounds the last news of a node.
+	// callerNoticeTime is how long callers take to notice that a node is not ready: they
+	// poll once a second and go elsewhere after two negative answers.
+	callerNoticeTime = 2200 * time.Millisecond
+	// callerIdleTime is how long no request must arrive for callers to count as gone.
+	callerIdleTime = 400 * time.Millisecond
+	// refuseShare is the share of the drain timeout after which new requests are refused
+	// unsent, so that earlier ones can end. refuseLongShare is the share after which
+	// requests are refused whose deadline lies after the end of the drain. By then
+	// callers have had time to go elsewhere.
+	refuseShare     = 0.5
+	refuseLongShare = 1.0 / 3
+	// drainPollPeriod is how often a leaving node checks whether callers are gone and
+	// whether calls are in flight.
+	drainPollPeriod = 50 * time.Millisecond
+	// departTimeout bounds the announcement that a node is gone.
 	departTimeout = 300 * time.Millisecond
-	// endTime is what a busy process takes to end.
-	endTime = 400 * time.Millisecond
-	// stopMargin is kept back of the drain timeout for all that follows the wait for
-	// calls under way.
-	stopMargin = departTimeout + closeTimeout + endTime
+	// exitTime is how long a busy process takes to exit.
+	exitTime = 400 * time.Millisecond
+	// shutdownMargin is the part of the drain timeout that is reserved for the steps
+	// after the wait for calls in flight.
+	shutdownMargin = departTimeout + closeTimeout + exitTime
 )
 
-// leave takes the node out of service without cutting anything off. The news
-// goes to everybody and the node's keys are closed a little ahead; until then
-// it takes what still comes. Then what is under way ends, the records of
-// idempotency keys move to a successor, and only then do the listeners close.
+// leave takes the node out of service without cutting off any call. The node announces
+// that it is leaving and ends its holdings of keys at a time slightly ahead; until then
+// it accepts requests. Then calls in flight end, the records of idempotency keys move to
+// a successor, and only then do the listeners close.
 func (n *Node) leave(ctx context.Context) {
 	started := n.clock.Now()
 	timeout := time.Duration(n.drainTimeout.Load())
-	end := started.Add(timeout - stopMargin)
+	end := started.Add(timeout - shutdownMargin)
 	n.leaving.Store(true)
 	n.callers.Leave()
 	n.log.Info("leaving", "node", n.settings.Name)
@@ -56,13 +57,13 @@
 		n.changePlan(ctx, n.nextPlan)
 		n.members.Kick()
 	}
-	late := time.AfterFunc(time.Duration(lateShare*float64(timeout)), func() { n.endBy(end) })
-	defer late.Stop()
+	refuseLong := time.AfterFunc(time.Duration(refuseLongShare*float64(timeout)), func() { n.setDrainDeadline(end) })
+	defer refuseLong.Stop()
 	n.pause(ctx, n.leaveGrace(timeout)-n.clock.Now().Sub(started))
-	n.awaitLull(ctx, started, timeout)
+	n.awaitCallersGone(ctx, started, timeout)
 	n.local.RefuseNew()
 	n.closed.Store(true)
-	if !n.quiet(end.Sub(n.clock.Now())) {
+	if !n.awaitDrained(end.Sub(n.clock.Now())) {
 		n.log.Warn("drain_timed_out", "after", timeout)
 	}
 	if n.handOver(ctx) {
@@ -75,72 +76,77 @@
 	n.members.Depart(departing)
 }
 
-// endBy has what comes from now on refused unsent if it may go on beyond a time: it
-// would be cut off then, and nobody could tell whether it ran.
-func (n *Node) endBy(end time.Time) {
-	n.mustEnd.Store(&end)
+// setDrainDeadline makes the node refuse unsent, from now on, every request that may run
+// beyond end: the request would be cut off then, and nobody could tell whether it ran.
+func (n *Node) setDrainDeadline(end time.Time) {
+	n.drainDeadline.Store(&end)
 	n.local.EndBy(end)
 }
 
-// fits says whether a request with a deadline ends in time for a planned stop.
-func (n *Node) fits(deadline time.Time) bool {
-	end := n.mustEnd.Load()
+// endsInTime reports whether a request with the given deadline ends before a planned
+// stop.
+func (n *Node) endsInTime(deadline time.Time) bool {
+	end := n.drainDeadline.Load()
 	return end == nil || !deadline.After(*end)
 }
 
-// awaitLull goes on taking requests while callers cannot know yet that the node
-// is not ready. Where they never ask that, there is nothing to wait for.
-func (n *Node) awaitLull(ctx context.Context, started time.Time, timeout time.Duration) {
+// awaitCallersGone keeps accepting requests while callers cannot know yet that the node
+// is not ready. It returns at once if there is no readiness listener that callers could
+// poll.
+func (n *Node) awaitCallersGone(ctx context.Context, started time.Time, timeout time.Duration) {
 	if n.settings.ReadyListen == "" {
 		return
 	}
-	latest := started.Add(doorTime(timeout))
+	latest := started.Add(refuseAfter(timeout))
 	for {
 		now := n.clock.Now()
-		noticed := now.Sub(started) >= noticeTime && now.Sub(n.callers.LastRequest()) >= lullTime
-		if noticed && n.replaced() || !now.Before(latest) || ctx.Err() != nil {
+		callersGone := now.Sub(started) >= callerNoticeTime && now.Sub(n.callers.LastRequest()) >= callerIdleTime
+		if callersGone && n.hasReplacement() || !now.Before(latest) || ctx.Err() != nil {
 			return
 		}
-		n.pause(ctx, lullPeriod)
+		n.pause(ctx, drainPollPeriod)
 	}
 }
 
-// replaced says whether another target of the service takes work. Until one does,
-// a leaving node goes on: others of its service may be restarting.
-func (n *Node) replaced() bool {
+// hasReplacement reports whether another target of the service accepts requests. Until
+// one does, a leaving node goes on accepting them, as other targets of the service may be
+// restarting.
+func (n *Node) hasReplacement() bool {
 	for _, m := range n.members.Service(n.settings.Service) {
-		if m.State == member.Active && m.Incarnation != n.incarnation && (m.TargetID != "" || !n.announced()) {
+		if m.State == member.Active && m.Incarnation != n.incarnation && (m.TargetID != "" || !n.targetsAnnounce()) {
 			return true
 		}
 	}
 	return false
 }
 
-// leaveGrace is how long a leaving node still takes work: until the news has
-// reached everybody, and until its keys, if it has any, belong to others. It
-// leaves calls the time to end, also where that is too short for the keys.
+// leaveGrace returns how long a leaving node still accepts requests: until the update has
+// reached every node and until the node's keys, if any, belong to others. The result is
+// capped to leave calls the time to end, even where the cap is too short for the keys.
 func (n *Node) leaveGrace(timeout time.Duration) time.Duration {
 	grace := minLeaveGrace
 	if n.needsPlan() {
-		grace = max(grace, once.CutLead(ownerRules(n.limits()))+newsTime)
+		grace = max(grace, once.CutLead(ownerRules(n.limits()))+propagationTime)
 	}
-	return min(grace, doorTime(timeout))
+	return min(grace, refuseAfter(timeout))
 }
 
-// doorTime is when a leaving node refuses what still comes, at the latest.
-func doorTime(timeout time.Duration) time.Duration {
-	return time.Duration(doorShare * float64(timeout))
+// refuseAfter returns how long after the start of a drain a leaving node refuses new
+// requests at the latest.
+func refuseAfter(timeout time.Duration) time.Duration {
+	return time.Duration(refuseShare * float64(timeout))
 }
 
-// quiet waits until no call is under way, within the time.
-func (n *Node) quiet(within time.Duration) bool {
+// awaitDrained waits until no call is in flight. It returns false if the time runs out
+// first.
+func (n *Node) awaitDrained(within time.Duration) bool {
 	timeout := n.clock.After(within)
 	drained := n.local.Drained()
 	for n.callers.Busy() > 0 || drained != nil {
 		select {
 		case <-drained:
 			drained = nil
-		case <-n.clock.After(lullPeriod):
+		case <-n.clock.After(drainPollPeriod):
 		case <-timeout:
 			return false
 		}
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -17,44 +17,45 @@
 )
 
 const (
-	// callsPerSecond is a node's part of the two-year load, 64,000 calls/s over
-	// 530 nodes.
+	// callsPerSecond is one node's part of the load projected for two years ahead: 64,000
+	// calls/s over 530 nodes.
 	callsPerSecond = 121
-	// keyedEvery says that one call in so many has a key.
+	// One call in keyedEvery has an idempotency key.
 	keyedEvery  = 10
 	answerBytes = 512
 )
 
-// records is the book and the ledger of a node with the memory.
-type records struct {
+// attemptAndKeyRecords holds the records of attempts and of idempotency keys of one node.
+type attemptAndKeyRecords struct {
 	book   *fate.Book[*relaypb.CarryResponse]
 	ledger *once.Ledger[*relaypb.CarryResponse]
 	now    time.Time
 }
 
-func newRecords(memoryBytes int64) *records {
+func newRecords(memoryBytes int64) *attemptAndKeyRecords {
 	now := time.Unix(1_800_000_000, 0)
 	rules := ownerRules(schema.DefaultLimits())
 	self := once.Node{Name: "a", Incarnation: "a1"}
-	ledger := once.NewLedger[*relaypb.CarryResponse](self, rules, memoryBytes/bookShare)
+	ledger := once.NewLedger[*relaypb.CarryResponse](self, rules, memoryBytes/recordMemoryDivisor)
 	plan, _ := once.Next(now.Add(-10*time.Minute), once.Plan{}, self, nil, rules)
 	ledger.Learn(plan)
-	book := fate.New[*relaypb.CarryResponse](fate.Settings{Keep: attemptKeep, MaxBytes: memoryBytes / bookShare, Margin: schema.MaxClockMargin})
-	return &records{book: book, ledger: ledger, now: now}
+	book := fate.New[*relaypb.CarryResponse](fate.Settings{Keep: attemptRetention, MaxBytes: memoryBytes / recordMemoryDivisor, Margin: schema.MaxClockMargin})
+	return &attemptAndKeyRecords{book: book, ledger: ledger, now: now}
 }
 
-// second serves the calls of one second, of which one in every has a key.
-func (r *records) second(calls, every int) {
+// serveSecond records the calls of one second. Each call whose index is a multiple of
+// every has a key.
+func (r *attemptAndKeyRecords) serveSecond(calls, every int) {
 	for i := range calls {
 		now := r.now.Add(time.Second * time.Duration(i) / time.Duration(calls))
-		id := attemptAt(now)
+		id := attemptIDAt(now)
 		answer := &relaypb.CarryResponse{Code: 100, Status: 200, Body: make([]byte, answerBytes), AttemptId: id}
 		r.book.Begin(now, id)
 		r.book.End(now, id, answer, answerBytes)
 		if i%every == 0 {
 			key := once.Mint(now)
 			r.ledger.Accept(now, key, "order", 1)
-			// Of its own, as after the book's record has gone.
+			// The ledger gets its own copy, as it outlives the attempt record.
 			kept := &relaypb.CarryResponse{Code: 100, Status: 200, Body: make([]byte, answerBytes), AttemptId: id}
 			r.ledger.Finish(now, key, kept, answerBytes)
 		}
@@ -64,8 +65,8 @@
 	r.ledger.Forget(r.now)
 }
 
-// attemptAt returns an attempt id that was minted at the time.
-func attemptAt(now time.Time) string {
+// attemptIDAt returns an attempt id that was minted at the given time.
+func attemptIDAt(now time.Time) string {
 	id := uuid.Must(uuid.NewV7())
 	ms := now.UnixMilli()
 	for i := range 6 {
@@ -74,11 +75,11 @@
 	return id.String()
 }
 
-// TestMemoryBytesHoldTheTwoYearLoad: the default refuses no call and drops no
-// answer until all records are as old as they get, and fits what the budget of
-// 64 MB leaves beside 43 MB, what an idle node of a mesh of 120 holds. At 530
-// nodes it is more (docs/CAPACITY.md). The least that can be set still refuses
-// no call.
+// TestMemoryBytesHoldTheTwoYearLoad checks that the default refuses no call and drops no
+// answer until all records have reached their maximum age, and that it fits into what the
+// budget of 64 MB leaves beside the 43 MB of an idle node in a mesh of 120. At 530 nodes
+// an idle node holds more (docs/CAPACITY.md). The smallest permitted setting must still
+// refuse no call.
 func TestMemoryBytesHoldTheTwoYearLoad(t *testing.T) {
 	const leftBytes = 64_000_000 - 43_000_000
 	is := is.New(t)
@@ -98,10 +99,10 @@
 platform_address: 127.0.0.1:9000
 `))
 		is.NoErr(err)
-		is.True(2*settings.MemoryBytes/bookShare <= leftBytes)
+		is.True(2*settings.MemoryBytes/recordMemoryDivisor <= leftBytes)
 		r := newRecords(settings.MemoryBytes)
 		for range schema.DefaultLimits().KeyAge/time.Second + 60 {
-			r.second(callsPerSecond, keyedEvery)
+			r.serveSecond(callsPerSecond, keyedEvery)
 		}
 		is.Equal(r.book.Stats().Refused, int64(0))
 		is.Equal(r.ledger.Stats().Refused, int64(0))
@@ -112,20 +113,19 @@
 	}
 }
 
-// BenchmarkMemory reports what the bound refuses and drops, in shares of the
-// calls and of the keys, and what the records take on the heap, for 16 minutes
-// of the two-year load.
+// BenchmarkMemory reports what the memory bound refuses and drops, as shares of the calls
+// and of the keys, and the heap use of the records, for 16 minutes of the two-year load.
 func BenchmarkMemory(b *testing.B) {
 	const seconds = 16 * 60
 	for _, memoryMiB := range []int64{16, 32, 36, 64, 96, 256} {
 		for _, every := range []int{keyedEvery, 1} {
 			b.Run(fmt.Sprintf("mib=%d/keyed=1in%d", memoryMiB, every), func(b *testing.B) {
-				var r *records
+				var r *attemptAndKeyRecords
 				before := heapBytes()
 				for b.Loop() {
 					r = newRecords(memoryMiB << 20)
 					for range seconds {
-						r.second(callsPerSecond, every)
+						r.serveSecond(callsPerSecond, every)
 					}
 				}
 				b.ReportMetric((heapBytes()-before)/1e6, "heap-MB")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node wires one node together: its listeners, its filter chain and
-// the controllers that keep its state up to date.
+// Package node assembles a node: its listeners, its filter chain and the controllers that
+// keep its state up to date.
 package node
 
 import (
@@ -31,10 +31,10 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// Node is one process beside one target.
+// Node is one node process, which runs beside one target.
 type Node struct {
 	settings *setup.Node
-	doors    Doors
+	adapters Doors
 	log      hclog.Logger
 	clock    clock.Clock
 	metrics  *metric.Set
@@ -47,34 +47,34 @@
 	members     *member.Controller
 	sender      *entry.Sender
 	local       *local.Server
-	held        *local.Held
+	heldAnswers *local.Held
 	rules       atomic.Pointer[filter.Rules]
 	plans       plans
 	takeovers   takeovers
-	status      tracker
-	platform    health
+	status      revisionTracker
+	platform    platformHealth
 
-	// targets orders the views that become the sender's targets.
-	targets sync.Mutex
+	// targetsMu serialises the updates of the sender's targets.
+	targetsMu sync.Mutex
 
-	presence presence
-	callers  *ahead.Server
-	// active is set once the node has announced itself, and stays set.
+	targetPresence targetPresence
+	callers        *ahead.Server
+	// active is set once the node has announced that it is active, and stays set.
 	active  atomic.Bool
 	leaving atomic.Bool
-	// closed is set once a leaving node takes no more requests of callers.
+	// closed is set once a leaving node accepts no more requests of callers.
 	closed atomic.Bool
-	// mustEnd is when all that a leaving node still takes has to have ended; nil while
-	// that does not matter.
-	mustEnd atomic.Pointer[time.Time]
-	// drainTimeout is that of the settings, in nanoseconds.
+	// drainDeadline is the time by which all requests that a leaving node still accepts
+	// must have ended. It is nil until the node enforces that limit.
+	drainDeadline atomic.Pointer[time.Time]
+	// drainTimeout is the drain timeout of the settings, in nanoseconds.
 	drainTimeout atomic.Int64
 	drain        chan struct{}
-	once         sync.Once
+	drainOnce    sync.Once
 }
 
-// listeners are bound before anything else: on one host, binding proves that
-// an earlier process of the same node accepts nothing any more.
+// listeners are bound before anything else starts: on one host, binding proves that an
+// earlier process of the same node no longer accepts connections.
 type listeners struct {
 	caller net.Listener
 	relay  net.Listener
@@ -87,7 +87,7 @@
 const (
 	// readHeaderTimeout bounds how long a caller may take to send its headers.
 	readHeaderTimeout = 5 * time.Second
-	// closeTimeout bounds the closing of the listeners after the drain.
+	// closeTimeout bounds closing the servers after the drain.
 	closeTimeout = 200 * time.Millisecond
 )
 
@@ -96,22 +96,22 @@
 	return RunWith(ctx, settings, log, Doors{})
 }
 
-// RunWith is Run with other doors than the project's own.
-func RunWith(ctx context.Context, settings *setup.Node, log hclog.Logger, doors Doors) error {
-	heap.Start()
+// RunWith is Run with the given implementations in place of the project's own.
+func RunWith(ctx context.Context, settings *setup.Node, log hclog.Logger, adapters Doors) error {
+	heap.SetInitialPercent()
 	bound, err := listen(settings)
 	if err != nil {
 		return err
 	}
-	n := New(settings, log, clock.System{}, doors)
+	n := New(settings, log, clock.System{}, adapters)
 	return n.run(ctx, bound)
 }
 
-// New puts a node together without starting anything.
-func New(settings *setup.Node, log hclog.Logger, clk clock.Clock, doors Doors) *Node {
+// New assembles a node without starting anything.
+func New(settings *setup.Node, log hclog.Logger, clk clock.Clock, adapters Doors) *Node {
 	n := &Node{
 		settings:    settings,
-		doors:       doors.orOwn(),
+		adapters:    adapters.withDefaults(),
 		log:         log,
 		clock:       clk,
 		metrics:     metric.New(),
@@ -122,13 +122,13 @@
 	}
 	n.drainTimeout.Store(int64(settings.DrainTimeout))
 	n.client.From = net.ParseIP(settings.RelayFrom)
-	n.client.OnSilent(n.linkSilent(trail.NewLimiter(failureLines, time.Second)))
+	n.client.OnSilent(n.linkSilent(trail.NewLimiter(failureLinesPerSecond, time.Second)))
 	n.platform.answered = n.started
 	store := plat.NewClient(settings.PlatformAddress, plat.Limits{})
-	if doors.Store != nil {
-		store = *doors.Store
+	if adapters.Store != nil {
+		store = *adapters.Store
 	}
-	n.store = n.platform.observed(store, clk.Now)
+	n.store = n.platform.instrument(store, clk.Now)
 	n.config = n.newConfig()
 	n.members = n.newMembers()
 	n.sender = n.newSender()
@@ -139,18 +139,19 @@
 	return n
 }
 
-// linkSilent logs, within a bound, which nodes do not answer while calls wait for them.
-func (n *Node) linkSilent(lines *trail.Limiter) func(address string) {
+// linkSilent returns a callback that logs, at a limited rate, which nodes do not answer
+// while calls wait for them.
+func (n *Node) linkSilent(limiter *trail.Limiter) func(address string) {
 	return func(address string) {
-		if leftOut, ok := lines.Allow(n.clock.Now(), ""); ok {
-			n.log.Warn("link_silent", "address", address, "left_out", leftOut)
+		if suppressed, ok := limiter.Allow(n.clock.Now(), ""); ok {
+			n.log.Warn("link_silent", "address", address, "left_out", suppressed)
 		}
 	}
 }
 
-// Drain makes the node leave, as the end of its context does.
+// Drain starts a planned stop, as does the end of the context of Run.
 func (n *Node) Drain() {
-	n.once.Do(func() { close(n.drain) })
+	n.drainOnce.Do(func() { close(n.drain) })
 }
 
 func (n *Node) run(ctx context.Context, bound *listeners) error {
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// await returns when the node is to leave, or with the error of a server.
+// await returns nil when the node is to leave, or the error of a server that failed.
 func (n *Node) await(ctx context.Context, failed <-chan error) error {
 	for {
 		select {
@@ -195,7 +196,7 @@
 	}
 }
 
-// start takes the node from its binding to its first call.
+// start brings a node whose listeners are bound to the active state.
 func (n *Node) start(ctx context.Context) {
 	if err := n.config.Boot(ctx, n.peers); err != nil {
 		n.log.Error("boot_failed", "error", err)
@@ -203,11 +204,11 @@
 	go n.config.Run(ctx)
 	go n.becomeActive(ctx)
 	go n.watchHealth(ctx)
-	if n.doors.Source == nil {
+	if n.adapters.Source == nil {
 		go n.config.RunCleaner(ctx)
 	}
-	if !n.announced() {
-		go n.keepPlan(ctx)
+	if !n.targetsAnnounce() {
+		go n.maintainPlan(ctx)
 	}
 }
 
@@ -222,7 +223,7 @@
 	return addresses
 }
 
-// servers are the servers of a node.
+// servers groups the running servers of a node.
 type servers struct {
 	callers *ahead.Server
 	links   *link.Server
@@ -250,7 +251,7 @@
 		HTTP2:     relay.HTTP2(),
 	})
 	s.start(bound.admin, &http.Server{Handler: n.adminServer().Handler()})
-	n.serveDoors(s, bound)
+	n.serveOptional(s, bound)
 	return s
 }
 
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -14,28 +14,28 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// plans are the owner plans that the node knows, decoded.
+// plans holds the latest known owner plan of each service, decoded.
 type plans struct {
 	mu        sync.RWMutex
 	byService map[string]once.Plan
 }
 
 const (
-	// ownerSlots is the number of shares into which the keys of a service fall.
+	// ownerSlots is the number of slots into which the keys of a service are divided.
 	ownerSlots = 12
-	// claimLead is the time in which the nodes of a service learn of a slot that
-	// falls free, and one of them claims it.
+	// claimLead is the time in which the nodes of a service learn of a slot that becomes
+	// free, and one of them claims it.
 	claimLead = 1500 * time.Millisecond
-	// planPeriod is how often a node looks whether its plan should change.
+	// planPeriod is how often a node checks whether its plan needs a change.
 	planPeriod = 500 * time.Millisecond
 	// planTimeout bounds one change of the plan.
 	planTimeout = 3 * time.Second
 	// handoverTimeout bounds the handover of records to one successor.
 	handoverTimeout = 3 * time.Second
-	// takeoverPatience is how long a successor leaves it to the node that goes to
-	// write into the plan who keeps its records.
-	takeoverPatience = 5 * time.Second
-	// handoverBatch is how many records travel in one message.
+	// takeoverDelay is how long a successor waits for the leaving node to commit the new
+	// owner of its records to the plan, before the successor does so itself.
+	takeoverDelay = 5 * time.Second
+	// handoverBatch is the maximum number of records in one handover message.
 	handoverBatch = 500
 )
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// owner is this node as a plan names it.
+// owner describes this node as plans do.
 func (n *Node) owner() once.Node {
 	return once.Node{
 		Name:        n.settings.Name,
@@ -61,7 +61,7 @@
 	}
 }
 
-// learnPlan takes in an owner plan that has been committed.
+// learnPlan adopts an owner plan that has been committed.
 func (n *Node) learnPlan(service string, document []byte, _ int64) {
 	plan, err := once.DecodePlan(document)
 	if err != nil {
@@ -74,9 +74,9 @@
 	}
 }
 
-// keepPlan renews this node's holdings in its service's plan until the context
-// ends, as long as the service has kinds that never repeat.
-func (n *Node) keepPlan(ctx context.Context) {
+// maintainPlan renews this node's holdings in its service's plan until the context ends,
+// as long as the service has kinds that must never be repeated.
+func (n *Node) maintainPlan(ctx context.Context) {
 	for ctx.Err() == nil {
 		if n.needsPlan() {
 			n.changePlan(ctx, n.nextPlan)
@@ -93,8 +93,9 @@
 	return once.Next(now, plan, n.owner(), n.owners(), ownerRules(n.limits()))
 }
 
-// changePlan commits a change of the plan, if there is one to make. The ledger
-// honours what the change takes away before the table can know of it.
+// changePlan commits a change of the plan, if one is needed. The ledger gives up what the
+// change takes away before the change is written to the table. changePlan returns false if
+// the change could not be committed.
 func (n *Node) changePlan(ctx context.Context, change func(now time.Time, plan once.Plan) (once.Plan, bool)) bool {
 	ctx, cancel := context.WithTimeout(ctx, planTimeout)
 	defer cancel()
@@ -130,9 +131,9 @@
 	return true
 }
 
-// planIsNewest reads the plan's row before anything is promised. A promise whose
-// write fails holds until a newer plan is known, and in an outage of the platform
-// that would leave the keys that it takes away without an owner to the end of it.
+// planIsNewest reads the plan's row before the ledger promises anything. A promise whose
+// write fails holds until a newer plan is known, so in an outage of the platform the keys
+// given up would have no owner until the outage ends.
 func (n *Node) planIsNewest(ctx context.Context, version int64) bool {
 	if err := n.config.PollPlan(ctx); err != nil {
 		return false
@@ -141,10 +142,11 @@
 	return newest == version
 }
 
-// needsPlan says whether the node's service runs kinds that never repeat.
+// needsPlan reports whether the node takes part in the owner plan of its service, which
+// exists for kinds that must never be repeated.
 func (n *Node) needsPlan() bool {
 	current := n.config.Current()
-	if current == nil || !n.members.Ready() || n.announced() {
+	if current == nil || !n.members.Ready() || n.targetsAnnounce() {
 		return false
 	}
 	for _, kind := range current.Set.Kinds {
@@ -155,7 +157,7 @@
 	return false
 }
 
-// owners returns the nodes that may hold keys of this node's service.
+// owners returns the nodes that may own keys of this node's service.
 func (n *Node) owners() []once.Node {
 	var nodes []once.Node
 	for _, m := range n.members.Service(n.settings.Service) {
@@ -173,9 +175,9 @@
 	return nodes
 }
 
-// keeper finds the incarnation that runs a key, or the truthful code when
-// there is none.
-func (n *Node) keeper(service string, key once.Key, fresh bool) (string, result.Code) {
+// ownerOf returns the incarnation that runs requests with a key, or the result code that
+// says why there is none.
+func (n *Node) ownerOf(service string, key once.Key, fresh bool) (string, result.Code) {
 	living := func(incarnation string) bool {
 		for _, m := range n.members.Service(service) {
 			if m.Incarnation == incarnation {
@@ -192,15 +194,15 @@
 	return holding.Keeper(), result.OK
 }
 
-// covered says whether the plan known here names an owner for a key.
-func (n *Node) covered(service string, key once.Key) bool {
+// ownerKnown reports whether the plan known locally names an owner for a key.
+func (n *Node) ownerKnown(service string, key once.Key) bool {
 	_, ok := n.plans.get(service).Find(key)
 	return ok
 }
 
-// settling says whether the node that holds a key is leaving, or has been
-// replaced by another process that is about to close its holdings.
-func (n *Node) settling(service string, key once.Key) bool {
+// ownerChanging reports whether the node that holds a key is leaving, or has been
+// replaced by another process that is about to end its holdings.
+func (n *Node) ownerChanging(service string, key once.Key) bool {
 	holding, ok := n.plans.get(service).Find(key)
 	if !ok {
 		return false
@@ -213,8 +215,8 @@
 	return false
 }
 
-// handOver gives this node's records to a successor before it goes, and says
-// whether there was anything to give.
+// handOver transfers this node's records to a successor before the node stops, and
+// reports whether a successor took them.
 func (n *Node) handOver(ctx context.Context) bool {
 	if !n.needsPlan() {
 		return false
@@ -225,7 +227,7 @@
 		if successor.Leaving || successor.Incarnation == n.incarnation {
 			continue
 		}
-		if !n.send(ctx, successor, records) {
+		if !n.sendRecords(ctx, successor, records) {
 			continue
 		}
 		n.commitHandover(ctx, successor)
@@ -249,8 +251,9 @@
 	n.log.Warn("handover_not_committed", "successor", successor.Name)
 }
 
-// send moves records to a successor, in batches.
-func (n *Node) send(ctx context.Context, successor once.Node, records []once.Record[*relaypb.CarryResponse]) bool {
+// sendRecords sends records to a successor in batches, and reports whether all were
+// accepted.
+func (n *Node) sendRecords(ctx context.Context, successor once.Node, records []once.Record[*relaypb.CarryResponse]) bool {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	for {
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -24,43 +24,46 @@
 )
 
 const (
-	// attemptKeep is how long ended attempts and tombstones are kept: longer
-	// than the longest deadline (1 min) and twice the largest clock margin
-	// (10 s), so that no attempt runs after it was forgotten.
-	attemptKeep = 90 * time.Second
-	// announcedKeep and answerKeep take its place where targets announce themselves.
-	// An attempt minted more than announcedKeep less the clock margin ago is refused.
-	// At 1,000 attempts/s, 30 s of them take 7.7 MB.
-	announcedKeep = 30 * time.Second
-	answerKeep    = 3 * time.Second
-	// backoffBase and backoffMax bound the wait before a repeat.
+	// attemptRetention is how long ended attempts and tombstones are kept. It exceeds the
+	// longest deadline (1 min) plus twice the largest clock margin (10 s), so that no
+	// attempt runs after its record has been removed.
+	attemptRetention = 90 * time.Second
+	// announcedAttemptRetention and answerRetention replace attemptRetention where
+	// targets announce themselves. An attempt minted more than announcedAttemptRetention
+	// less the clock margin ago is refused. At 1,000 attempts/s, the records of 30 s take
+	// 7.7 MB.
+	announcedAttemptRetention = 30 * time.Second
+	answerRetention           = 3 * time.Second
+	// backoffBase and backoffMax bound the wait before a retry.
 	backoffBase = 25 * time.Millisecond
 	backoffMax  = 500 * time.Millisecond
-	// ownShare is the part of the budget of repeats that a node keeps for the
-	// requests that came to it, runShare that for repeats of calls that may have run,
-	// and slackShare the part of the fixed slack that all nodes together take.
-	// The rest covers what the nodes do not see: windows that lie otherwise, and
-	// calls that are made again by a call that ran again.
-	ownShare   = 0.7
-	runShare   = 0.15
-	slackShare = 0.5
-	// innerPart is the part of it that repeats of targets' calls may take where
-	// requests of callers need the rest.
-	innerPart = 0.4
-	// failureLines is how many lines a second about failures with one result go out.
-	failureLines = 10
-	// bookShare is the share of a node's memory for records of attempts.
-	bookShare = 4
+	// nodeRetryShare is the part of the retry budget that a node spends on requests that
+	// arrived at it, mayHaveRunShare the part for retries of calls that may have run, and
+	// slackShare the part of the fixed slack that all nodes together take. The rest
+	// covers what the nodes cannot see: windows with other boundaries, and calls that are
+	// made again by a call that ran again.
+	nodeRetryShare  = 0.7
+	mayHaveRunShare = 0.15
+	slackShare      = 0.5
+	// targetCallShare is the part of a node's budget that retries of targets' calls may
+	// take where requests of callers need the rest.
+	targetCallShare = 0.4
+	// failureLinesPerSecond is how many lines a second are logged about failures with one
+	// result.
+	failureLinesPerSecond = 10
+	// The records of attempts and those of keys may each take one part in
+	// recordMemoryDivisor of a node's memory.
+	recordMemoryDivisor = 4
 )
 
 func (n *Node) newConfig() *config.Controller {
-	c := config.New(n.store, n.doors.Parse, n.clock, n.log.Named("config"))
+	c := config.New(n.store, n.adapters.Parse, n.clock, n.log.Named("config"))
 	c.Name = n.settings.Name
 	c.Service = n.settings.Service
-	c.Source = n.doors.Source
+	c.Source = n.adapters.Source
 	c.Nodes = func() int { return len(n.members.All()) }
 	c.Fetch = n.fetch
-	c.OnRevision = n.enforce
+	c.OnRevision = n.applyRevision
 	c.OnPlan = n.learnPlan
 	return c
 }
@@ -111,10 +114,10 @@
 			Random:     rand.Float64,
 		},
 		Backoff:    budget.Backoff{Base: backoffBase, Max: backoffMax, Random: rand.Float64},
-		Owner:      n.keeper,
-		Settling:   n.settling,
-		Covered:    n.covered,
-		Opaque:     n.announced(),
+		Owner:      n.ownerOf,
+		Settling:   n.ownerChanging,
+		Covered:    n.ownerKnown,
+		Opaque:     n.targetsAnnounce(),
 		RetryShare: n.retryShare,
 		Moved:      n.members.Kick,
 	}
@@ -123,37 +126,37 @@
 	return s
 }
 
-// retryRule is the part that this node keeps of the budget of repeats that the
-// nodes beside the targets of its service share. It has no part of the slack before
-// it knows with how many others it shares that.
-func (n *Node) retryRule() budget.Rule {
+// retryBudgetRule returns this node's part of the retry budget that the nodes beside the
+// targets of its service share. The part includes no slack until the node knows how many
+// nodes share the slack.
+func (n *Node) retryBudgetRule() budget.Rule {
 	slack := 0.0
 	if n.members.Ready() {
 		beside := len(n.members.Service(n.settings.Service))
 		slack = float64(n.settings.RetrySlack) * slackShare / float64(max(beside, 1))
 	}
 	return budget.Rule{
-		Share:     n.settings.RetryShare * ownShare,
-		RunShare:  n.settings.RetryShare * runShare,
+		Share:     n.settings.RetryShare * nodeRetryShare,
+		RunShare:  n.settings.RetryShare * mayHaveRunShare,
 		Slack:     slack,
 		Span:      n.settings.RetryWindow,
-		InnerPart: innerPart,
+		InnerPart: targetCallShare,
 	}
 }
 
 func (n *Node) newLocal() *local.Server {
-	n.held = local.NewHeld(func() int64 { return n.limits().HeldBytes })
+	n.heldAnswers = local.NewHeld(func() int64 { return n.limits().HeldBytes })
 	service := schema.DefaultService()
-	bookBytes := n.settings.MemoryBytes / bookShare
-	target := local.NewTarget(n.settings.TargetAddress, service.Connections, n.held)
-	target.Wire = n.doors.Target
+	recordBytes := n.settings.MemoryBytes / recordMemoryDivisor
+	target := local.NewTarget(n.settings.TargetAddress, service.Connections, n.heldAnswers)
+	target.Wire = n.adapters.Target
 	var admits func(targetID string) result.Code
 	var pressed func(kind string) []*relaypb.Pressed
-	var retryRule func() budget.Rule
+	var retryBudgetRule func() budget.Rule
 	if n.settings.RetryWindow > 0 {
-		retryRule = n.retryRule
+		retryBudgetRule = n.retryBudgetRule
 	}
-	if n.announced() {
+	if n.targetsAnnounce() {
 		admits = n.admits
 		pressed = n.sender.Pressed
 	}
@@ -162,20 +165,20 @@
 		Service:     n.settings.Service,
 		Target:      target,
 		Admits:      admits,
-		RetryRule:   retryRule,
+		RetryRule:   retryBudgetRule,
 		Pressed:     pressed,
-		Failures:    trail.NewLimiter(failureLines, time.Second),
+		Failures:    trail.NewLimiter(failureLinesPerSecond, time.Second),
 		Clock:       n.clock,
 		Metrics:     n.metrics,
 		Log:         n.log.Named("local"),
 		Gate:        admit.NewGate(n.gateSettings(service)),
-		Book:        fate.New[*relaypb.CarryResponse](n.bookSettings(bookBytes)),
-		Ledger:      once.NewLedger[*relaypb.CarryResponse](n.owner(), ownerRules(schema.DefaultLimits()), bookBytes),
-		LedgerBytes: bookBytes,
+		Book:        fate.New[*relaypb.CarryResponse](n.attemptRecordSettings(recordBytes)),
+		Ledger:      once.NewLedger[*relaypb.CarryResponse](n.owner(), ownerRules(schema.DefaultLimits()), recordBytes),
+		LedgerBytes: recordBytes,
 		Kind:        n.kind,
 		Limits:      n.limits,
 		ShedStatus:  n.shedStatus,
-		Levels:      n.levels,
+		Levels:      n.knownFloors,
 		Learn: func(floor uint32) {
 			n.sender.Learn(n.settings.Service, n.incarnation, floor)
 		},
@@ -185,44 +188,44 @@
 	})
 }
 
-// bookSettings say how long attempts are remembered. Where targets announce
-// themselves, no caller comes back with the same request, so that only the node
-// that sent an attempt asks for it, within seconds of losing the connection.
-func (n *Node) bookSettings(bytes int64) fate.Settings {
-	settings := fate.Settings{Keep: attemptKeep, MaxBytes: bytes, Margin: schema.MaxClockMargin}
-	if n.announced() {
-		settings.Keep = announcedKeep
-		settings.KeepAnswers = answerKeep
+// attemptRecordSettings returns how long attempts are recorded. Where targets announce
+// themselves, no caller sends the same request again, so only the node that sent an
+// attempt asks for its outcome, within seconds of losing the connection.
+func (n *Node) attemptRecordSettings(bytes int64) fate.Settings {
+	settings := fate.Settings{Keep: attemptRetention, MaxBytes: bytes, Margin: schema.MaxClockMargin}
+	if n.targetsAnnounce() {
+		settings.Keep = announcedAttemptRetention
+		settings.KeepAnswers = answerRetention
 	}
 	return settings
 }
 
-func (n *Node) inward() *filter.Inward {
+func (n *Node) inboundFilters() *filter.Inward {
 	host, _, _ := net.SplitHostPort(n.settings.TargetAddress)
-	inward := &filter.Inward{
-		Failures:   trail.NewLimiter(failureLines, time.Second),
+	inboundFilters := &filter.Inward{
+		Failures:   trail.NewLimiter(failureLinesPerSecond, time.Second),
 		Clock:      n.clock,
 		Metrics:    n.metrics,
 		Log:        n.log.Named("filter"),
-		Rules:      n.inForce,
+		Rules:      n.activeRules,
 		Leaving:    n.closed.Load,
-		Fits:       n.fits,
+		Fits:       n.endsInTime,
 		Serving:    n.local.Serving,
 		TargetHost: host,
 		Allows:     n.sender.Allows,
 	}
-	if n.announced() {
-		// Where calls do not name the request that they are made for, their floors
-		// say nothing at the entry of it; the throttle goes by how requests end.
-		inward.Admits = n.sender.Admits
-		inward.Ended = n.sender.Ended
-		inward.Allows = nil
+	if n.targetsAnnounce() {
+		// Where calls do not name the request that they are made for, their floors say
+		// nothing at the request's entry. The throttle goes by the results of requests.
+		inboundFilters.Admits = n.sender.Admits
+		inboundFilters.Ended = n.sender.Ended
+		inboundFilters.Allows = nil
 	}
-	return inward
+	return inboundFilters
 }
 
-// levels returns the known floors along the chain of a kind.
-func (n *Node) levels(now time.Time, kind string) []*relaypb.Level {
+// knownFloors returns the known admission floors along the call chain of a kind.
+func (n *Node) knownFloors(now time.Time, kind string) []*relaypb.Level {
 	rules := n.rules.Load()
 	if rules == nil {
 		return nil
@@ -230,8 +233,8 @@
 	return n.sender.Levels(now, rules.Chain(kind), n.incarnation)
 }
 
-// end is what the filter chain leads to.
-func (n *Node) end(ctx context.Context, exchange *filter.Exchange) *call.Answer {
+// dispatch is the final handler of the filter chain. It sends the call to a target.
+func (n *Node) dispatch(ctx context.Context, exchange *filter.Exchange) *call.Answer {
 	return n.sender.Send(ctx, exchange.Call)
 }
 
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -13,7 +13,7 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// relayService answers the other nodes.
+// relayService implements the API for other nodes.
 type relayService struct {
 	node *Node
 }
@@ -25,7 +25,7 @@
 	return mux
 }
 
-// Carry runs an attempt, or joins it when it came before.
+// Carry runs an attempt, or joins the attempt if it has arrived before.
 func (r *relayService) Carry(ctx context.Context, request *connect.Request[relaypb.CarryRequest]) (*connect.Response[relaypb.CarryResponse], error) {
 	answer := r.node.carry(ctx, request.Msg)
 	if answer == nil {
@@ -34,31 +34,32 @@
 	return connect.NewResponse(answer), nil
 }
 
-// carry runs an attempt of another node. It returns nil when the context ends first.
+// carry runs an attempt of another node. It returns nil if the context ends first.
 func (n *Node) carry(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
 	if !n.members.Ready() {
-		// After a freeze the node may be out of its lease and behind its peers.
+		// After a freeze the node's lease may have expired, and its state may be older
+		// than that of its peers.
 		return n.local.Refuse(request, result.NoConfiguration)
 	}
 	return n.local.Carry(ctx, request)
 }
 
-// Fate says what became of an attempt.
+// Fate returns the state or outcome of an attempt.
 func (r *relayService) Fate(ctx context.Context, request *connect.Request[relaypb.FateRequest]) (*connect.Response[relaypb.FateResponse], error) {
 	return connect.NewResponse(r.node.local.Fate(ctx, request.Msg)), nil
 }
 
-// Exchange swaps membership news.
+// Exchange merges the membership updates of a peer and returns those of this node.
 func (r *relayService) Exchange(_ context.Context, request *connect.Request[relaypb.ExchangeRequest]) (*connect.Response[relaypb.ExchangeResponse], error) {
 	return connect.NewResponse(r.node.members.Answer(request.Msg)), nil
 }
 
-// Fetch hands over the configuration in force and the owner plans asked for.
+// Fetch returns the configuration in force and the owner plans asked for.
 func (r *relayService) Fetch(_ context.Context, request *connect.Request[relaypb.FetchRequest]) (*connect.Response[relaypb.FetchResponse], error) {
 	return connect.NewResponse(r.node.config.Answer(request.Msg)), nil
 }
 
-// Report tells how loaded the target beside this node is.
+// Report returns the load of the target beside this node.
 func (r *relayService) Report(context.Context, *connect.Request[relaypb.ReportRequest]) (*connect.Response[relaypb.ReportResponse], error) {
 	load := r.node.local.Load()
 	return connect.NewResponse(&relaypb.ReportResponse{
@@ -68,9 +69,9 @@
 	}), nil
 }
 
-// Handover takes over the idempotency records of a leaving node.
+// Handover imports the idempotency records of a leaving node.
 func (r *relayService) Handover(_ context.Context, request *connect.Request[relaypb.HandoverRequest]) (*connect.Response[relaypb.HandoverResponse], error) {
-	accepted := r.node.takeOver(request.Msg)
+	accepted := r.node.importRecords(request.Msg)
 	return connect.NewResponse(&relaypb.HandoverResponse{Accepted: accepted}), nil
 }
 
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -2,8 +2,8 @@
 
 import "github.com/dandelionfield/dandelionfield/internal/setup"
 
-// reload puts changed settings in force: the drain timeout. All others hold for
-// the life of a process, and a change of them is logged.
+// reload applies changed settings. Only the drain timeout can change while the process
+// runs; a change of any other setting is logged as one that needs a restart.
 func (n *Node) reload(changed *setup.Node) {
 	n.drainTimeout.Store(int64(changed.DrainTimeout))
 	rest := *changed
--- a/internal/node/rules.go
+++ b/internal/node/rules.go
@@ -16,17 +16,18 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// tracker wakes everybody who waits for the next revision.
-type tracker struct {
+// revisionTracker wakes those who wait for the next revision, and records when the
+// current one took effect.
+type revisionTracker struct {
 	mu      sync.Mutex
 	changed chan struct{}
 	since   time.Time
 }
 
 const (
-	// readyPeriod is how often a starting node looks whether it is ready.
+	// readyPeriod is how often a starting node checks whether it is ready.
 	readyPeriod = 20 * time.Millisecond
-	// plansWait is how long a node that is ready otherwise waits for owners.
+	// plansWait is how long a node that is otherwise ready waits for owner plans.
 	plansWait = 5 * time.Second
 )
 
@@ -34,8 +35,8 @@
 	return schema.Parse("configuration", document)
 }
 
-// enforce compiles a revision and puts it in force for requests.
-func (n *Node) enforce(revision *config.Revision) {
+// applyRevision compiles a revision and puts it in force for requests.
+func (n *Node) applyRevision(revision *config.Revision) {
 	set := revision.Set
 	matcher := schema.NewMatcher(set)
 	chains := make(map[string][]string, len(set.Kinds))
@@ -56,13 +57,13 @@
 			n.sender.SetDistances(centre.Distances)
 		}
 	}
-	n.keepKinds(chains)
+	n.forgetUndeclaredKinds(chains)
 	n.local.Regulate(n.owner(), ownerRules(set.Limits), set.Limits.RecordBytes)
 	if document, version := n.config.Plan(n.settings.Service); version > 0 {
 		n.learnPlan(n.settings.Service, document, version)
 	}
 	if service := set.Service(n.settings.Service); service != nil {
-		n.declare(*service)
+		n.applyDeclaration(*service)
 	}
 	n.members.SetSelf(func(self *member.Member) { self.Revision = revision.Number })
 	n.membersChanged()
@@ -71,9 +72,9 @@
 	n.log.Info("revision_in_force", "revision", revision.Number, "digest", revision.Digest)
 }
 
-// keepKinds lets all parts forget kinds that are not declared any more. Otherwise
-// each that ever was would take memory until the node ends.
-func (n *Node) keepKinds(chains map[string][]string) {
+// forgetUndeclaredKinds removes the state of kinds that are no longer declared. Otherwise
+// every kind ever declared would take memory until the process ends.
+func (n *Node) forgetUndeclaredKinds(chains map[string][]string) {
 	declared := func(kind string) bool {
 		_, ok := chains[kind]
 		return ok
@@ -83,11 +84,11 @@
 	n.metrics.Keep(slices.Collect(maps.Keys(chains)))
 }
 
-// becomeActive announces the node as a target once it has the configuration, a
-// view of the others, and the owners of idempotency keys. It does not wait for
-// owners for ever: a service without living targets has none.
+// becomeActive announces the node as a target once it has the configuration, a view of
+// the members, and the owner plans of idempotency keys. It waits for the plans no longer
+// than plansWait, since a service without live targets has none.
 func (n *Node) becomeActive(ctx context.Context) {
-	for waited := time.Duration(0); !n.prepared() || (!n.announced() && !n.plansKnown() && waited < plansWait); {
+	for waited := time.Duration(0); !n.prepared() || (!n.targetsAnnounce() && !n.plansKnown() && waited < plansWait); {
 		select {
 		case <-ctx.Done():
 			return
@@ -106,23 +107,24 @@
 	n.log.Info("node_active", "node", n.settings.Name, "revision", n.config.Number())
 }
 
-// prepared says whether the node has the configuration and a trusted view.
+// prepared reports whether the node has the configuration and a trusted view of the
+// members, and is not leaving.
 func (n *Node) prepared() bool {
 	return n.rules.Load() != nil && n.members.Ready() && !n.leaving.Load()
 }
 
-// inForce returns the rules for requests. There are none until the node is
-// active, because before that it may not know the owners of keys, and none after
-// a freeze that outlasted its lease, until it has learned what is in force now.
-func (n *Node) inForce() *filter.Rules {
+// activeRules returns the rules for requests, or nil if the node accepts none. It accepts
+// none until it is active, because it may not know the owners of keys before, and none
+// after a freeze that outlasted its lease until it has learned the current configuration.
+func (n *Node) activeRules() *filter.Rules {
 	if !n.active.Load() || n.closed.Load() || !n.members.Ready() {
 		return nil
 	}
 	return n.rules.Load()
 }
 
-// plansKnown says whether the owners of every service whose kinds may run only
-// once are known.
+// plansKnown reports whether the owner plans are known of every service that has kinds
+// that must never be repeated.
 func (n *Node) plansKnown() bool {
 	current := n.config.Current()
 	if current == nil {
@@ -139,12 +141,12 @@
 	return true
 }
 
-// membersChanged gives the sender the targets of every declared service. One view
-// is worked off after another, so that the last one that was taken stays in force.
+// membersChanged gives the sender the targets of every declared service. Each call takes
+// its view of the members under the lock, so that the latest view stays in force.
 func (n *Node) membersChanged() {
 	n.checkSuperseded()
-	n.targets.Lock()
-	defer n.targets.Unlock()
+	n.targetsMu.Lock()
+	defer n.targetsMu.Unlock()
 	current := n.config.Current()
 	if current == nil {
 		return
@@ -155,7 +157,7 @@
 		if m.State != member.Active && m.State != member.Cold && m.State != member.Leaving {
 			continue
 		}
-		if n.announced() && m.TargetID == "" {
+		if n.targetsAnnounce() && m.TargetID == "" {
 			continue
 		}
 		byService[m.Service] = append(byService[m.Service], route.Target{
@@ -175,7 +177,7 @@
 	n.metrics.Members.Set(float64(len(all)))
 }
 
-// checkSuperseded stops the node when a later process bears its name.
+// checkSuperseded drains the node if a later process has its name.
 func (n *Node) checkSuperseded() {
 	if later, ok := n.members.Superseded(); ok {
 		n.log.Warn("superseded", "node", n.settings.Name, "by", later.Incarnation)
@@ -191,10 +193,11 @@
 	return current.Set.Kind(name)
 }
 
-// declare puts the declaration of the own service in force at its target. Of one that
-// announces itself it knows the slots by its heartbeats, which may come before.
-func (n *Node) declare(service schema.Service) {
-	if n.announced() {
+// applyDeclaration applies the declaration of the node's own service to its target. The
+// slots of a target that announces itself come from its heartbeats, which may arrive
+// before the declaration.
+func (n *Node) applyDeclaration(service schema.Service) {
+	if n.targetsAnnounce() {
 		n.local.SetConnections(service.Connections)
 		return
 	}
@@ -218,7 +221,7 @@
 	return n.declared(service).RetryShare
 }
 
-// watch blocks until a revision above after is in force.
+// watch blocks until a revision newer than after is in force.
 func (n *Node) watch(ctx context.Context, after int64) (int64, *schema.Set, error) {
 	for {
 		changed := n.status.wait()
@@ -233,8 +236,8 @@
 	}
 }
 
-// advance notes a new revision and wakes those who wait.
-func (t *tracker) advance(now time.Time) {
+// advance records that a new revision took effect and wakes those who wait.
+func (t *revisionTracker) advance(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.since = now
@@ -245,7 +248,7 @@
 }
 
 // wait returns a channel that is closed at the next revision.
-func (t *tracker) wait() <-chan struct{} {
+func (t *revisionTracker) wait() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.changed == nil {
@@ -254,8 +257,8 @@
 	return t.changed
 }
 
-// age returns the time since the revision in force was taken up.
-func (t *tracker) age(now time.Time) time.Duration {
+// age returns the time since the revision in force took effect.
+func (t *revisionTracker) age(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.since.IsZero() {
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -18,8 +18,9 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// News of two members arrives at the same time, over and over. Whichever is worked
-// off last, calls go by the last view, and not by one that was taken before it.
+// Guards against an older view of the members replacing a newer one when the updates of
+// two members arrive at the same time: calls must go by the latest view, whichever update
+// is processed last.
 func TestLastViewIsInForce(t *testing.T) {
 	is := is.New(t)
 	settings := &setup.Node{Name: "a", Service: "s", TargetAddress: "127.0.0.1:1", PlatformAddress: "127.0.0.1:1", MemoryBytes: 16 << 20}
@@ -27,17 +28,17 @@
 	n := New(settings, hclog.NewNullLogger(), clock.System{}, Doors{Parse: declared})
 	document := []byte("one service")
 	is.True(n.config.Offer(config.Revision{Number: 1, Document: document, Digest: config.Digest(document)}))
-	for round := range viewRounds {
-		var told sync.WaitGroup
+	for round := range concurrentUpdateRounds {
+		var exchanges sync.WaitGroup
 		for _, name := range []string{"b", "c"} {
-			told.Go(func() {
+			exchanges.Go(func() {
 				n.members.Answer(&relaypb.ExchangeRequest{From: name, Deltas: []*relaypb.Member{{
 					Name: name, Incarnation: fmt.Sprint(name, round), StartedMs: int64(round + 1), Version: 1,
 					RelayAddress: name, Service: "s", State: uint32(member.Active),
 				}}})
 			})
 		}
-		told.Wait()
+		exchanges.Wait()
 		present := map[string]bool{}
 		for _, target := range n.sender.Targets("s") {
 			present[target.Target.Incarnation] = true
@@ -50,11 +51,11 @@
 	}
 }
 
-// viewRounds is how often two changes of the view meet in the test.
-const viewRounds = 5000
+// concurrentUpdateRounds is how often two updates run concurrently in the test.
+const concurrentUpdateRounds = 5000
 
-// Before a node knows the others beside targets of its service, it spends nothing of
-// the slack that they share.
+// A node that does not know yet how many nodes are beside targets of its service must not
+// spend any of the retry slack that they share.
 func TestSlackOfRepeatsWaitsForTheView(t *testing.T) {
 	is := is.New(t)
 	settings := &setup.Node{
@@ -62,6 +63,6 @@
 		RetryShare: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 48,
 	}
 	n := New(settings, hclog.NewNullLogger(), clock.System{}, Doors{})
-	is.Equal(n.retryRule().Slack, 0.0)
-	is.True(n.retryRule().Share > 0)
+	is.Equal(n.retryBudgetRule().Slack, 0.0)
+	is.True(n.retryBudgetRule().Share > 0)
 }
--- a/internal/node/status_test.go
+++ b/internal/node/status_test.go
@@ -20,8 +20,8 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// TestUnownedIsWhatALostHostCosts asks for the keys without an owner of a plan of
-// four slots at second 100. Node b is lost.
+// TestUnownedIsWhatALostHostCosts checks which keys have no owner in a plan of four slots
+// at second 100, when node b is lost.
 func TestUnownedIsWhatALostHostCosts(t *testing.T) {
 	now := time.Unix(100, 0)
 	hold := func(name string, from, until int64) once.Holding {
@@ -54,8 +54,9 @@
 	}
 }
 
-// TestReportTellsWhatOnlyTheNodeKnows asks a node that has taken over records, and
-// has waited with the plan for as long as it leaves that to the node that went.
+// TestReportTellsWhatOnlyTheNodeKnows checks the report and the metrics of a node that
+// has imported records and has waited takeoverDelay for the leaving node to commit the
+// change of the plan.
 func TestReportTellsWhatOnlyTheNodeKnows(t *testing.T) {
 	is := is.New(t)
 	settings := &setup.Node{Name: "a", Service: "s", TargetAddress: "127.0.0.1:1", PlatformAddress: "127.0.0.1:1", MemoryBytes: 16 << 20}
@@ -66,8 +67,8 @@
 		return response.Msg
 	}
 	n.takeovers.add("b1", time.Now())
-	is.Equal(report().PendingHandovers, uint32(0)) // the node that went may still write it
-	n.takeovers.add("b1", time.Now().Add(-takeoverPatience))
+	is.Equal(report().PendingHandovers, uint32(0)) // the leaving node may still commit it
+	n.takeovers.add("b1", time.Now().Add(-takeoverDelay))
 	is.Equal(report().PendingHandovers, uint32(1))
 	now := time.Now()
 	is.Equal(describeMember(member.Member{Name: "a"}, report(), now).PendingHandovers, 1)
@@ -77,8 +78,8 @@
 	stopped := &relaypb.ReportResponse{Load: &relaypb.Load{StoppedMs: 1500}}
 	is.Equal(describeTarget(member.Member{Name: "a"}, stopped, true).StoppedMS, int64(1500))
 	n.settings.Service = "s"
-	n.platform.note(now, plat.Unavailable.New("down"))
-	n.showState(now.Add(time.Minute / 2))
+	n.platform.record(now, plat.Unavailable.New("down"))
+	n.updateStateMetrics(now.Add(time.Minute / 2))
 	is.Equal(testutil.ToFloat64(n.metrics.PendingHandovers), 1.0)
 	is.Equal(testutil.ToFloat64(n.metrics.UnownedKeyShare), 1.0)
 	is.Equal(testutil.ToFloat64(n.metrics.TargetStopped), 0.0)
--- a/internal/node/target.go
+++ b/internal/node/target.go
@@ -10,32 +10,33 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// presence is what the node knows of the target beside it from its heartbeats.
-type presence struct {
-	// order lets heartbeats come into force one after another.
-	order sync.Mutex
-	mu    sync.Mutex
-	book  beat.Book
+// targetPresence holds what the node knows of the target beside it from heartbeats.
+type targetPresence struct {
+	// applyMu serialises applying heartbeats.
+	applyMu    sync.Mutex
+	mu         sync.Mutex
+	heartbeats beat.Book
 }
 
-// lateWork is how long a target that has said that it leaves still gets calls:
-// until the news has reached the nodes that send them.
-const lateWork = 700 * time.Millisecond
+// departureGrace is how long a target that has announced its departure still gets calls:
+// until the update has reached the nodes that send them.
+const departureGrace = 700 * time.Millisecond
 
-// announce returns the node's side of the heartbeats.
+// announce returns the callbacks for the target's heartbeats.
 func (n *Node) announce() Announce {
 	return Announce{Beat: n.heartbeat, Depart: n.departed}
 }
 
-// heartbeat takes in a heartbeat. When it returns, the gate acts by it.
+// heartbeat processes a heartbeat. Once it returns, the admission gate acts on the
+// heartbeat.
 func (n *Node) heartbeat(b beat.Beat) beat.Verdict {
-	n.presence.order.Lock()
-	defer n.presence.order.Unlock()
-	n.presence.mu.Lock()
-	before, known := n.presence.book.Target()
-	verdict := n.presence.book.Take(n.clock.Now(), b)
-	target, _ := n.presence.book.Target()
-	n.presence.mu.Unlock()
+	n.targetPresence.applyMu.Lock()
+	defer n.targetPresence.applyMu.Unlock()
+	n.targetPresence.mu.Lock()
+	before, known := n.targetPresence.heartbeats.Target()
+	verdict := n.targetPresence.heartbeats.Take(n.clock.Now(), b)
+	target, _ := n.targetPresence.heartbeats.Target()
+	n.targetPresence.mu.Unlock()
 	switch verdict {
 	case beat.Late:
 		n.log.Info("heartbeat_late", "target", b.ID, "state", b.State.String(), "sequence", b.Sequence,
@@ -47,14 +48,14 @@
 	return verdict
 }
 
-// departed takes in that a process of the target is gone or about to go.
+// departed records that a process of the target has exited or is about to.
 func (n *Node) departed(id string, bornMS int64) {
-	n.presence.order.Lock()
-	defer n.presence.order.Unlock()
-	n.presence.mu.Lock()
-	changed := n.presence.book.Depart(n.clock.Now(), id, bornMS)
-	target, _ := n.presence.book.Target()
-	n.presence.mu.Unlock()
+	n.targetPresence.applyMu.Lock()
+	defer n.targetPresence.applyMu.Unlock()
+	n.targetPresence.mu.Lock()
+	changed := n.targetPresence.heartbeats.Depart(n.clock.Now(), id, bornMS)
+	target, _ := n.targetPresence.heartbeats.Target()
+	n.targetPresence.mu.Unlock()
 	if !changed {
 		n.log.Info("departure_late", "target", id, "present", target.ID)
 		return
@@ -62,7 +63,8 @@
 	n.targetChanged(target, false)
 }
 
-// targetChanged puts what a heartbeat changed in force here and tells the others.
+// targetChanged applies a change of the target here and announces the change to the other
+// nodes.
 func (n *Node) targetChanged(target beat.Target, fresh bool) {
 	n.log.Info("target_changed", "target", target.ID, "state", target.State.String(), "service", target.Service,
 		"slots", target.Slots, "sequence", target.Sequence, "born_ms", target.BornMS, "fresh", fresh)
@@ -85,23 +87,24 @@
 	})
 }
 
-// admits says whether a process of the target takes work. One that leaves takes
-// what was sent before its leaving was known, by the time that passed outside too:
-// a node that was suspended meanwhile comes back too late.
+// admits reports whether a process of the target accepts a call. A process that leaves
+// accepts calls until departureGrace has passed since its departure was known. Time for
+// which the host was suspended counts: a node that was suspended meanwhile resumes too
+// late.
 func (n *Node) admits(targetID string) result.Code {
-	n.presence.mu.Lock()
-	target, known := n.presence.book.Target()
-	n.presence.mu.Unlock()
+	n.targetPresence.mu.Lock()
+	target, known := n.targetPresence.heartbeats.Target()
+	n.targetPresence.mu.Unlock()
 	switch {
 	case !known, targetID != target.ID, target.Service != n.settings.Service:
 		return result.OtherIncarnation
-	case !target.Left.IsZero() && clock.Since(n.clock.Now(), target.Left) >= lateWork:
+	case !target.Left.IsZero() && clock.Since(n.clock.Now(), target.Left) >= departureGrace:
 		return result.Leaving
 	}
 	return result.OK
 }
 
-// announced says whether targets announce themselves to their nodes.
-func (n *Node) announced() bool {
-	return n.doors.Control != nil
+// targetsAnnounce reports whether targets announce themselves to their nodes.
+func (n *Node) targetsAnnounce() bool {
+	return n.adapters.Control != nil
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -8,57 +8,57 @@
 	"github.com/dandelionfield/dandelionfield/internal/plat"
 )
 
-// health notes when the platform last answered.
-type health struct {
+// platformHealth records when the platform last answered.
+type platformHealth struct {
 	mu       sync.Mutex
 	answered time.Time
 	failing  bool
 }
 
-// observed returns the store with every answer noted. An answer that refuses,
-// such as a conflict, is an answer too.
-func (h *health) observed(store plat.Store, now func() time.Time) plat.Store {
-	note := func(err error) { h.note(now(), err) }
+// instrument returns a store that records the result of every operation. A refusal, such
+// as a conflict, also counts as an answer.
+func (h *platformHealth) instrument(store plat.Store, now func() time.Time) plat.Store {
+	record := func(err error) { h.record(now(), err) }
 	return plat.Store{
 		Get: func(ctx context.Context, table, key string) (plat.Row, error) {
 			row, err := store.Get(ctx, table, key)
-			note(err)
+			record(err)
 			return row, err
 		},
 		List: func(ctx context.Context, table string, since int64) ([]plat.Row, int64, error) {
 			rows, version, err := store.List(ctx, table, since)
-			note(err)
+			record(err)
 			return rows, version, err
 		},
 		Commit: func(ctx context.Context, write plat.Write) (int64, error) {
 			version, err := store.Commit(ctx, write)
-			note(err)
+			record(err)
 			return version, err
 		},
 		PutObject: func(ctx context.Context, name string, data []byte) error {
 			err := store.PutObject(ctx, name, data)
-			note(err)
+			record(err)
 			return err
 		},
 		GetObject: func(ctx context.Context, name string) ([]byte, error) {
 			data, err := store.GetObject(ctx, name)
-			note(err)
+			record(err)
 			return data, err
 		},
 		DeleteObject: func(ctx context.Context, name string) error {
 			err := store.DeleteObject(ctx, name)
-			note(err)
+			record(err)
 			return err
 		},
 		ListObjects: func(ctx context.Context, prefix string, limit int) ([]string, error) {
 			names, err := store.ListObjects(ctx, prefix, limit)
-			note(err)
+			record(err)
 			return names, err
 		},
 	}
 }
 
-func (h *health) note(now time.Time, err error) {
+func (h *platformHealth) record(now time.Time, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failing = plat.IsUnavailable(err)
@@ -67,9 +67,9 @@
 	}
 }
 
-// state says whether the last operation was answered, and how long the
+// reachability reports whether the last operation was answered and, if not, how long the
 // platform has been silent.
-func (h *health) state(now time.Time) (reachable bool, silent time.Duration) {
+func (h *platformHealth) reachability(now time.Time) (reachable bool, silent time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.failing {
