--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -15,14 +15,14 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// BenchmarkChanges accepts documents of 62 KB at 710 a day of model time, with
-// the default of kept revisions, and reports what the platform holds after them
-// and was asked for each. Nodes that follow are not in it.
+// BenchmarkChanges accepts documents of 62 KB at 710 a day of simulated time, with the
+// default number of kept revisions. It reports what the platform stores at the end, and
+// the reads and writes for each change. Polling by other nodes is not included.
 func BenchmarkChanges(b *testing.B) {
 	const (
 		documentBytes = 62_000
 		step          = 24 * time.Hour / 710
-		look          = 30 * time.Minute
+		cleanInterval = 30 * time.Minute
 	)
 	parseNothing := func([]byte) (*schema.Set, error) {
 		return &schema.Set{Limits: schema.DefaultLimits()}, nil
@@ -37,14 +37,14 @@
 					memory = plat.NewMemory()
 					clk := newClock()
 					c := config.New(memory.Store(), parseNothing, clk, hclog.NewNullLogger())
-					var looked time.Time
+					var lastClean time.Time
 					for number := range changes {
 						document := fmt.Sprintf("%d%s", number, strings.Repeat("x", documentBytes))
 						_, err := c.Commit(ctx, []byte(document), number)
 						is.NoErr(err)
 						clk.now = clk.now.Add(step)
-						if cleaning && clk.now.Sub(looked) > look {
-							looked = clk.now
+						if cleaning && clk.now.Sub(lastClean) > cleanInterval {
+							lastClean = clk.now
 							is.NoErr(c.Clean(ctx))
 						}
 					}
--- a/internal/config/clean.go
+++ b/internal/config/clean.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// cleanInterval is the mean time after which a node looks whether a turn of
-	// cleaning is due, and the length of a turn. At 530 nodes that is 0.3
-	// reads/s.
+	// cleanInterval is the mean time between two checks of one node whether a cleanup run
+	// is due, and the length of a run. With 530 nodes the checks are 0.3 reads/s in all.
 	cleanInterval = 30 * time.Minute
-	// deletePause is the time between two deletes. With a lease row in 10 s, a
-	// node then uses 0.2 of the 0.5 writes/s that the platform grants it.
+	// deletePause is the time between two deletes. With one lease write every 10 s, a
+	// node then uses 0.2 of the 0.5 writes/s that its client permits.
 	deletePause = 10 * time.Second
-	// deletesPerTurn fit into a turn with their pauses, 25 of 30 minutes, so
-	// that the next node does not begin before. They are 7200 a day.
-	deletesPerTurn = 150
+	// deletesPerRun is the number of deletes that, with their pauses, fit into one run:
+	// 25 of its 30 minutes, so that the next node does not start before this one ends.
+	// That is 7200 deletes a day.
+	deletesPerRun = 150
 
-	markKey      = "cleaned"
-	objectPrefix = "revision-"
+	cleanStateKey = "cleaned"
+	objectPrefix  = "revision-"
 )
 
-// mark is the value of the row config/cleaned.
-type mark struct {
-	// Below is the number below which documents may be gone. It never falls and
-	// is raised before the first delete, so that nobody is promised a revision
-	// that is about to go.
+// cleanState is the value of the row config/cleaned.
+type cleanState struct {
+	// Below is the revision number below which documents may have been deleted. It never
+	// decreases and is raised before the first delete, so that no caller is offered a
+	// revision that is about to be deleted.
 	Below int64 `json:"below"`
-	// NextMS is the Unix time from which another turn may begin, and Node the
-	// node that has the present one.
+	// NextMS is the Unix time in milliseconds from which the next run may start, and Node
+	// the node that claimed the present run.
 	NextMS int64  `json:"next_ms"`
 	Node   string `json:"node"`
 }
 
-// RunCleaner removes documents that are no longer kept until the context ends.
-// Of all nodes, one has the turn at a time.
+// RunCleaner deletes documents that are no longer kept, until the context ends. Only one
+// node at a time runs a cleanup.
 func (c *Controller) RunCleaner(ctx context.Context) {
 	for {
 		select {
@@ -54,16 +54,16 @@
 	}
 }
 
-// Clean removes documents that are no longer kept, if a turn is due. It ends at
-// the first error; what it left is removed in a later turn.
+// Clean deletes documents that are no longer kept, if a run is due. It stops at the first
+// error; a later run deletes the rest.
 //
-// No lock is needed against commits and other cleaners. Each revision has an
-// object of its own, named by its number, and a number below the head's is
-// never accepted again. So an object below the mark is never referred to again,
-// however late a delete or a put arrives: two nodes may delete it, and a
-// rollback puts its copy under a new number.
+// No lock against commits and other cleaners is needed. Each revision has an object of
+// its own, named by its number, and a number below the head's is never accepted again. So
+// an object below cleanState.Below is never referred to again, however late a delete or a
+// put arrives: two nodes may delete it, and a rollback stores its copy under a new
+// number.
 func (c *Controller) Clean(ctx context.Context) error {
-	below, err := c.takeTurn(ctx)
+	below, err := c.claimCleanup(ctx)
 	if err != nil || below == 0 {
 		return err
 	}
@@ -73,7 +73,7 @@
 	}
 	deleted := 0
 	for _, name := range names {
-		if number, ok := numberOf(name); !ok || number >= below {
+		if number, ok := objectNumber(name); !ok || number >= below {
 			continue
 		}
 		if err := c.deleteObject(ctx, name); err != nil {
@@ -88,73 +88,75 @@
 	return nil
 }
 
-// takeTurn raises the mark and returns it, or 0 if there is no turn to take.
-func (c *Controller) takeTurn(ctx context.Context) (below int64, err error) {
+// claimCleanup claims a cleanup run by updating the row config/cleaned, and returns the
+// new value of cleanState.Below. It returns 0 if no run is due or another node claimed
+// it.
+func (c *Controller) claimCleanup(ctx context.Context) (below int64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	row, last, err := c.readMark(ctx)
+	row, state, err := c.readCleanState(ctx)
 	now := c.clock.Now()
-	if err != nil || !last.due(now) {
+	if err != nil || !state.due(now) {
 		return 0, err
 	}
 	past, err := c.readHistory(ctx)
-	if err != nil || len(past.Past) == 0 {
+	if err != nil || len(past.Entries) == 0 {
 		return 0, err
 	}
 	current := c.Current()
-	if current == nil || current.Number != past.Past[0].Number {
-		return 0, nil // how many are kept is not known here yet
+	if current == nil || current.Number != past.Entries[0].Number {
+		return 0, nil // this node does not know yet how many revisions the latest set keeps
 	}
-	next := mark{
-		Below:  max(last.Below, past.floor(keptRevisions(current.Set), now)),
+	next := cleanState{
+		Below:  max(state.Below, past.lowestKept(keptRevisions(current.Set), now)),
 		NextMS: now.Add(cleanInterval).UnixMilli(),
 		Node:   c.Name,
 	}
-	if err := c.commitMark(ctx, row, next); err != nil {
+	if err := c.commitCleanState(ctx, row, next); err != nil {
 		if isConflict(err) {
-			return 0, nil // another node has taken it
+			return 0, nil // another node claimed this run
 		}
 		return 0, err
 	}
 	return next.Below, nil
 }
 
-func (c *Controller) commitMark(ctx context.Context, row plat.Row, next mark) error {
+func (c *Controller) commitCleanState(ctx context.Context, row plat.Row, next cleanState) error {
 	value, err := json.Marshal(next)
 	if err != nil {
 		return err
 	}
 	_, err = c.store.Commit(ctx, plat.Write{
 		Table:   configTable,
-		ID:      writeID(markKey, Digest(value), row.Version),
-		Changes: []plat.Change{{Key: markKey, Value: value, Expected: row.Version}},
+		ID:      writeID(cleanStateKey, Digest(value), row.Version),
+		Changes: []plat.Change{{Key: cleanStateKey, Value: value, Expected: row.Version}},
 	})
 	return err
 }
 
-func (c *Controller) readMark(ctx context.Context) (plat.Row, mark, error) {
-	var last mark
-	row, err := c.store.Get(ctx, configTable, markKey)
+func (c *Controller) readCleanState(ctx context.Context) (plat.Row, cleanState, error) {
+	var state cleanState
+	row, err := c.store.Get(ctx, configTable, cleanStateKey)
 	if err != nil || row.Version == 0 {
-		return row, last, err
+		return row, state, err
 	}
-	if err := json.Unmarshal(row.Value, &last); err != nil {
-		return row, last, Invalid.Wrap(err, "the row %s/%s cannot be read", configTable, markKey)
+	if err := json.Unmarshal(row.Value, &state); err != nil {
+		return row, state, Invalid.Wrap(err, "the row %s/%s cannot be read", configTable, cleanStateKey)
 	}
-	return row, last, nil
+	return row, state, nil
 }
 
-// due says whether a turn may begin. A time further off than any turn is long
-// comes from a wrong clock and is not waited for.
-func (m mark) due(now time.Time) bool {
-	wait := time.UnixMilli(m.NextMS).Sub(now)
+// due reports whether a run may start. A time further ahead than twice the length of a
+// run comes from a wrong clock and is ignored.
+func (s cleanState) due(now time.Time) bool {
+	wait := time.UnixMilli(s.NextMS).Sub(now)
 	return wait <= 0 || wait > 2*cleanInterval
 }
 
 func (c *Controller) listObjects(ctx context.Context) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	return c.store.ListObjects(ctx, objectPrefix, deletesPerTurn)
+	return c.store.ListObjects(ctx, objectPrefix, deletesPerRun)
 }
 
 func (c *Controller) deleteObject(ctx context.Context, name string) error {
@@ -172,13 +174,13 @@
 	}
 }
 
-// objectName names the document of a revision. Names sort by number.
+// objectName returns the object name of a revision's document. Names sort by number.
 func objectName(number int64, digest string) string {
 	return fmt.Sprintf("%s%019d-%s", objectPrefix, number, digest)
 }
 
-// numberOf returns the number in an object's name.
-func numberOf(name string) (number int64, ok bool) {
+// objectNumber returns the revision number in an object's name.
+func objectNumber(name string) (number int64, ok bool) {
 	digits, _, _ := strings.Cut(strings.TrimPrefix(name, objectPrefix), "-")
 	number, err := strconv.ParseInt(digits, 10, 64)
 	return number, err == nil && number > 0
--- a/internal/config/clean_test.go
+++ b/internal/config/clean_test.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// grace is the time for which a replaced revision has to stay.
-	grace = time.Hour
-	// turn is longer than a node lets pass between two turns of cleaning.
-	turn = time.Hour
-	// kept is how many revisions the documents of these tests keep.
+	// retention is the time for which a replaced revision must be kept.
+	retention = time.Hour
+	// cleanPeriod is longer than the time between two cleanup runs of a node.
+	cleanPeriod = time.Hour
+	// kept is the number of revisions that the documents of these tests keep.
 	kept = 2
 )
 
-// jumpClock moves to the end of every wait.
+// jumpClock advances at once to the end of every wait.
 type jumpClock struct{ now time.Time }
 
 func (c *jumpClock) Now() time.Time { return c.now }
@@ -38,8 +38,8 @@
 	return fired
 }
 
-// keeper is a node of the name under the clock, whose documents keep few.
-func keeper(name string, store plat.Store, clk *jumpClock) *config.Controller {
+// newNode returns the controller of a node whose documents keep only a few revisions.
+func newNode(name string, store plat.Store, clk *jumpClock) *config.Controller {
 	parseKept := func(document []byte) (*schema.Set, error) {
 		limits := schema.Limits{KeptRevisions: kept}
 		if string(document) == "keep all" {
@@ -53,7 +53,8 @@
 	return c
 }
 
-// commitMany accepts documents d1, d2 and so on, one in each step of time.
+// commitMany commits documents d1, d2 and so on, and advances the clock by step after
+// each.
 func commitMany(is *is.I, c *config.Controller, clk *jumpClock, count int, step time.Duration) {
 	is.Helper()
 	for range count {
@@ -68,49 +69,50 @@
 	return &jumpClock{now: time.Unix(1_800_000_000, 0)}
 }
 
-// TestSlowNodeStillFetches lets a node read the head row and stop there, while
-// others go on and clean for all but the grace time.
+// TestSlowNodeStillFetches stops a node after it has read the head row, while other nodes
+// commit and clean until a minute before the retention time ends. The document must still
+// be there.
 func TestSlowNodeStillFetches(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clk := newClock()
 	memory := plat.NewMemory()
-	other := keeper("other", memory.Store(), clk)
-	commitMany(is, other, clk, 1, 2*grace)
+	other := newNode("other", memory.Store(), clk)
+	commitMany(is, other, clk, 1, 2*retention)
 
 	store := memory.Store()
 	get := store.GetObject
 	store.GetObject = func(ctx context.Context, name string) ([]byte, error) {
 		commitMany(is, other, clk, 2*kept, 0)
-		clk.now = clk.now.Add(grace - time.Minute)
+		clk.now = clk.now.Add(retention - time.Minute)
 		is.NoErr(other.Clean(ctx))
 		return get(ctx, name)
 	}
-	slow := keeper("slow", store, clk)
+	slow := newNode("slow", store, clk)
 	is.NoErr(slow.Poll(ctx))
 	is.Equal(slow.Number(), int64(1))
-	clk.now = clk.now.Add(turn)
+	clk.now = clk.now.Add(cleanPeriod)
 	is.NoErr(other.Clean(ctx))
-	is.Equal(memory.Stats().Objects, int64(kept)) // and after the grace it goes
+	is.Equal(memory.Stats().Objects, int64(kept)) // deleted after the retention time
 }
 
-// TestSharedDocumentStays rolls back to the oldest kept revision, whose own
-// object then goes.
+// TestSharedDocumentStays rolls back to the oldest kept revision, whose own object is
+// then deleted.
 func TestSharedDocumentStays(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clk := newClock()
 	memory := plat.NewMemory()
-	c := keeper("a", memory.Store(), clk)
-	commitMany(is, c, clk, 2, 2*grace)
+	c := newNode("a", memory.Store(), clk)
+	commitMany(is, c, clk, 2, 2*retention)
 	restored, err := c.Rollback(ctx, 1, 2)
 	is.NoErr(err)
-	is.Equal(restored.Number, int64(3)) // a new number, never a lower one
-	clk.now = clk.now.Add(2 * grace)
+	is.Equal(restored.Number, int64(3)) // a rollback gets a new number, never a lower one
+	clk.now = clk.now.Add(2 * retention)
 	is.NoErr(c.Clean(ctx))
 	_, err = c.Load(ctx, 1)
 	is.True(errorx.IsOfType(err, config.NotKept))
-	booted := keeper("b", memory.Store(), clk)
+	booted := newNode("b", memory.Store(), clk)
 	is.NoErr(booted.Poll(ctx))
 	is.Equal(string(booted.Current().Document), "d1")
 	entries, err := booted.History(ctx)
@@ -120,9 +122,9 @@
 	is.Equal(entries[0].Node, "a")
 }
 
-// TestRollbackRacesDeletion cleans at each operation of a rollback to a
-// revision that is due to go. Wherever the cleaning comes, the rollback either
-// is whole, for a node that boots from the platform as well, or changes nothing.
+// TestRollbackRacesDeletion runs a cleanup at each operation of a rollback to a revision
+// that is due for deletion. Wherever the cleanup comes, the rollback either succeeds
+// completely, also for a node that boots from the platform, or changes nothing.
 func TestRollbackRacesDeletion(t *testing.T) {
 	outcomes := map[bool]int{}
 	for at := range 12 {
@@ -130,9 +132,9 @@
 		ctx := context.Background()
 		clk := newClock()
 		memory := plat.NewMemory()
-		cleaner := keeper("cleaner", memory.Store(), clk)
+		cleaner := newNode("cleaner", memory.Store(), clk)
 		commitMany(is, cleaner, clk, kept, 0)
-		commitMany(is, cleaner, clk, 1, 2*grace)
+		commitMany(is, cleaner, clk, 1, 2*retention)
 		operations := 0
 		step := func() {
 			if operations == at {
@@ -140,16 +142,16 @@
 			}
 			operations++
 		}
-		operator := keeper("operator", stepped(memory.Store(), step), clk)
+		operator := newNode("operator", hooked(memory.Store(), step), clk)
 		restored, err := operator.Rollback(ctx, 1, kept+1)
 		late := errorx.IsOfType(err, config.NotKept)
 		is.True(err == nil || late)
 		outcomes[late]++
-		clk.now = clk.now.Add(2 * turn)
-		booted := keeper("booted", memory.Store(), clk)
+		clk.now = clk.now.Add(2 * cleanPeriod)
+		booted := newNode("booted", memory.Store(), clk)
 		is.NoErr(booted.Poll(ctx))
 		is.NoErr(booted.Clean(ctx))
-		is.NoErr(keeper("again", memory.Store(), clk).Poll(ctx)) // still there
+		is.NoErr(newNode("again", memory.Store(), clk).Poll(ctx)) // the document is still stored
 		if late {
 			is.Equal(booted.Number(), int64(kept+1))
 			continue
@@ -157,11 +159,11 @@
 		is.Equal(booted.Number(), restored.Number)
 		is.Equal(string(booted.Current().Document), "d1")
 	}
-	is.New(t).True(outcomes[true] > 0 && outcomes[false] > 0) // both were met
+	is.New(t).True(outcomes[true] > 0 && outcomes[false] > 0) // both outcomes occurred
 }
 
-// stepped calls step before every operation.
-func stepped(store plat.Store, step func()) plat.Store {
+// hooked calls step before every operation.
+func hooked(store plat.Store, step func()) plat.Store {
 	get, commit, put, object := store.Get, store.Commit, store.PutObject, store.GetObject
 	store.Get = func(ctx context.Context, table, key string) (plat.Row, error) {
 		step()
@@ -182,52 +184,52 @@
 	return store
 }
 
-// TestRepeatedRollbackIsAcceptedOnce repeats a rollback whose answer was lost
-// after the revision that it went back to has gone.
+// TestRepeatedRollbackIsAcceptedOnce repeats a rollback whose answer was lost, after the
+// document of the restored revision has been deleted.
 func TestRepeatedRollbackIsAcceptedOnce(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clk := newClock()
 	memory := plat.NewMemory()
-	c := keeper("a", memory.Store(), clk)
-	commitMany(is, c, clk, kept, 2*grace)
+	c := newNode("a", memory.Store(), clk)
+	commitMany(is, c, clk, kept, 2*retention)
 	first, err := c.Rollback(ctx, 1, kept)
 	is.NoErr(err)
-	clk.now = clk.now.Add(2 * grace)
+	clk.now = clk.now.Add(2 * retention)
 	is.NoErr(c.Clean(ctx))
 	again, err := c.Rollback(ctx, 1, kept)
 	is.NoErr(err)
 	is.Equal(again.Number, first.Number)
 	is.Equal(c.Number(), first.Number)
-	_, err = c.Rollback(ctx, kept, kept) // of another operator, who expected the same
+	_, err = c.Rollback(ctx, kept, kept) // another operator expected the same revision
 	is.True(errorx.IsOfType(err, config.Conflict))
 }
 
-// TestOutageWithinRollback takes the platform away after each operation of a
-// rollback, whose answers are lost. What the operator is told is true, and the same rollback, sent again
-// when the platform is back, is accepted once.
+// TestOutageWithinRollback takes the platform down after each operation of a rollback,
+// while all answers are lost. The result that the operator gets is true, and the same
+// rollback, repeated once the platform is back, is accepted once.
 func TestOutageWithinRollback(t *testing.T) {
 	for at := range 12 {
 		is := is.New(t)
 		ctx := context.Background()
 		clk := newClock()
 		memory := plat.NewMemory()
-		commitMany(is, keeper("a", memory.Store(), clk), clk, kept, 0)
+		commitMany(is, newNode("a", memory.Store(), clk), clk, kept, 0)
 		operations := 0
-		operator := keeper("operator", stepped(memory.Store(), func() {
+		operator := newNode("operator", hooked(memory.Store(), func() {
 			memory.SetFaults(plat.Faults{LoseAnswers: 1, Down: operations > at})
 			operations++
 		}), clk)
 		_, err := operator.Rollback(ctx, 1, kept)
-		operations = math.MinInt // the platform stays up from here
+		operations = math.MinInt // no faults from here on
 		memory.SetFaults(plat.Faults{})
-		watcher := keeper("watcher", memory.Store(), clk)
+		watcher := newNode("watcher", memory.Store(), clk)
 		is.NoErr(watcher.Poll(ctx))
 		switch {
 		case err == nil:
 			is.Equal(watcher.Number(), int64(kept+1))
 		case errorx.IsOfType(err, config.Unreachable):
-			is.Equal(watcher.Number(), int64(kept)) // told that nothing was changed
+			is.Equal(watcher.Number(), int64(kept)) // reported as unchanged
 		default:
 			is.True(errorx.IsOfType(err, config.Unresolved))
 		}
@@ -238,8 +240,8 @@
 	}
 }
 
-// TestOneNodeCleansAtATime lets two nodes clean at once: one has the turn. A
-// turn that was cut off by a restart is finished by another node.
+// TestOneNodeCleansAtATime lets two nodes clean at the same time: only one claims the
+// run. Another node later finishes a run that a restart interrupted.
 func TestOneNodeCleansAtATime(t *testing.T) {
 	is := is.New(t)
 	clk := newClock()
@@ -248,34 +250,35 @@
 	ctx, restart := context.WithCancel(context.Background())
 	deletes := 0
 	deleteObject := store.DeleteObject
-	second := keeper("second", memory.Store(), clk)
+	second := newNode("second", memory.Store(), clk)
 	store.DeleteObject = func(ctx context.Context, name string) error {
 		deletes++
-		is.NoErr(second.Clean(context.Background())) // not its turn
+		is.NoErr(second.Clean(context.Background())) // the other node holds the run
 		if deletes == 2 {
 			restart()
 		}
 		return deleteObject(ctx, name)
 	}
-	first := keeper("first", store, clk)
-	commitMany(is, first, clk, 8, 2*grace)
+	first := newNode("first", store, clk)
+	commitMany(is, first, clk, 8, 2*retention)
 	is.NoErr(second.Poll(context.Background()))
 	is.True(first.Clean(ctx) != nil)
-	is.Equal(memory.Stats().Objects, int64(8-1)) // the second delete was cut off
-	clk.now = clk.now.Add(turn)
+	is.Equal(memory.Stats().Objects, int64(8-1)) // the second delete was interrupted
+	clk.now = clk.now.Add(cleanPeriod)
 	is.NoErr(second.Clean(context.Background()))
 	is.Equal(memory.Stats().Objects, int64(kept))
 }
 
-// TestLaggingNodeDoesNotClean: it does not know yet that all are kept from now on.
+// TestLaggingNodeDoesNotClean runs a cleanup on a node that has not learned of the latest
+// revision, which keeps all documents. The node must not delete any.
 func TestLaggingNodeDoesNotClean(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clk := newClock()
 	memory := plat.NewMemory()
-	c := keeper("a", memory.Store(), clk)
-	commitMany(is, c, clk, 5, 2*grace)
-	lagging := keeper("lagging", memory.Store(), clk)
+	c := newNode("a", memory.Store(), clk)
+	commitMany(is, c, clk, 5, 2*retention)
+	lagging := newNode("lagging", memory.Store(), clk)
 	is.NoErr(lagging.Poll(ctx))
 	_, err := c.Commit(ctx, []byte("keep all"), 5)
 	is.NoErr(err)
@@ -284,16 +287,16 @@
 	is.Equal(memory.Stats().Objects, int64(6))
 }
 
-// TestHistoryHoldsWhatIsNeeded: 64 heads for writers whose answers were lost,
-// and more only while they are fresh.
+// TestHistoryHoldsWhatIsNeeded checks that the history names 64 heads, for writers whose
+// answers were lost, and more only while those were recently in force.
 func TestHistoryHoldsWhatIsNeeded(t *testing.T) {
 	is := is.New(t)
 	clk := newClock()
-	c := keeper("a", plat.NewMemory().Store(), clk)
+	c := newNode("a", plat.NewMemory().Store(), clk)
 	for _, phase := range []struct {
 		step time.Duration
 		want int
-	}{{time.Second, 90}, {2 * grace, 64}} {
+	}{{time.Second, 90}, {2 * retention, 64}} {
 		commitMany(is, c, clk, 90, phase.step)
 		entries, err := c.History(context.Background())
 		is.NoErr(err)
@@ -301,12 +304,13 @@
 	}
 }
 
-// TestHistoryNeedsThePlatform, but the revision in force does not.
-func TestHistoryNeedsThePlatform(t *testing.T) {
+// TestHistoryFailsDuringOutage checks that the history and rollbacks fail while the
+// platform is down, but that the revision in force can still be loaded.
+func TestHistoryFailsDuringOutage(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	memory := plat.NewMemory()
-	c := keeper("a", memory.Store(), newClock())
+	c := newNode("a", memory.Store(), newClock())
 	commitMany(is, c, newClock(), 2, 0)
 	memory.SetFaults(plat.Faults{Down: true})
 	_, err := c.History(ctx)
@@ -321,17 +325,17 @@
 	is.True(errorx.IsOfType(err, config.NotKept))
 }
 
-// TestKeptRevisionsStay runs operators and cleaners against a platform with
-// lost answers and outages. Every revision that has to stay can be loaded at
-// any time, and once all is well what is left is no more than that.
+// TestKeptRevisionsStay runs operators and cleaners against a platform with lost answers
+// and outages. Every revision that must be kept can be loaded at any time, and after the
+// faults have ended no more than those revisions remain.
 func TestKeptRevisionsStay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		ctx := context.Background()
 		clk := newClock()
 		memory := plat.NewMemory()
-		observer := keeper("observer", memory.Store(), clk)
-		nodes := []*config.Controller{keeper("a", memory.Store(), clk), keeper("b", memory.Store(), clk)}
+		observer := newNode("observer", memory.Store(), clk)
+		nodes := []*config.Controller{newNode("a", memory.Store(), clk), newNode("b", memory.Store(), clk)}
 		replaced := []time.Time{} // when revision n+2 replaced revision n+1
 		documents := []string{}
 		random := rapid.Float64Range(0, 1)
@@ -348,11 +352,11 @@
 			case "rollback":
 				_, _ = c.Rollback(ctx, rapid.Int64Range(1, 9).Draw(t, "to"), observer.Number())
 			case "clean":
-				clk.now = clk.now.Add(turn)
+				clk.now = clk.now.Add(cleanPeriod)
 				_ = c.Poll(ctx)
 				_ = c.Clean(ctx)
 			case "wait":
-				clk.now = clk.now.Add(rapid.SampledFrom([]time.Duration{time.Minute, grace / 2}).Draw(t, "time"))
+				clk.now = clk.now.Add(rapid.SampledFrom([]time.Duration{time.Minute, retention / 2}).Draw(t, "time"))
 			}
 			memory.SetFaults(plat.Faults{})
 			is.NoErr(observer.Poll(ctx))
@@ -362,16 +366,16 @@
 				replaced = append(replaced, clk.now)
 			}
 			for i, document := range documents {
-				fresh := i+1 < len(replaced) && clk.now.Sub(replaced[i+1]) < grace
+				fresh := i+1 < len(replaced) && clk.now.Sub(replaced[i+1]) < retention
 				if i < len(documents)-kept && !fresh {
 					continue
 				}
-				loaded, err := keeper("fresh", memory.Store(), clk).Load(ctx, int64(i+1))
+				loaded, err := newNode("fresh", memory.Store(), clk).Load(ctx, int64(i+1))
 				is.NoErr(err)
 				is.Equal(string(loaded.Document), document)
 			}
 		}
-		clk.now = clk.now.Add(2 * grace)
+		clk.now = clk.now.Add(2 * retention)
 		is.NoErr(observer.Clean(ctx))
 		entries, err := observer.History(ctx)
 		is.NoErr(err)
--- a/internal/config/commit.go
+++ b/internal/config/commit.go
@@ -10,25 +10,26 @@
 	"github.com/dandelionfield/dandelionfield/internal/plat"
 )
 
-// head is the value of the row config/current. A head is known by its number
-// and digest, from which the id of its write follows.
+// head is the value of the row config/current. Its number and digest identify it, and the
+// id of the write that made it is derived from them.
 type head struct {
 	Number int64  `json:"number"`
 	Digest string `json:"digest"`
 }
 
-// Commit accepts a document as the revision after the expected one (0 for the
-// first) and brings it into force here. It returns a Revision only if that
-// revision was accepted, else Invalid, Conflict or Unresolved.
+// Commit accepts a document as the revision after the expected one (0 for the first) and
+// brings it into force at this node. It returns a Revision only if that revision was
+// accepted; otherwise the error is ReadOnly, Invalid, Conflict or Unresolved.
 //
-// The write id follows from the document and the expected revision. So an
-// operator who sends the same Commit again, because its answer was lost, gets
-// the revision that the first one made.
+// The write id is derived from the document and the expected revision. So Commit is
+// idempotent: an operator who repeats it because the answer was lost gets the revision
+// that the first call made.
 func (c *Controller) Commit(ctx context.Context, document []byte, expected int64) (Revision, error) {
 	return c.accept(ctx, document, expected, 0)
 }
 
-// accept is Commit, and notes which revision it restores, if any.
+// accept implements Commit and Rollback. restores is the revision that a rollback
+// restores, or 0.
 func (c *Controller) accept(ctx context.Context, document []byte, expected, restores int64) (Revision, error) {
 	if c.Source != nil {
 		return Revision{}, ReadOnly.New("operators write the configuration on the platform")
@@ -54,7 +55,7 @@
 	return accepted, nil
 }
 
-// commitHead puts the object and replaces the head.
+// commitHead stores the document and replaces the head row.
 func (c *Controller) commitHead(ctx context.Context, row plat.Row, accepted Revision, restores int64) error {
 	if err := c.putObject(ctx, accepted); err != nil {
 		return Unresolved.Wrap(err, "the document could not be stored; this attempt accepted nothing")
@@ -75,7 +76,7 @@
 	if done || outcomeErr != nil {
 		return outcomeErr
 	}
-	// The expected head is still there, but the write may be on its way.
+	// The expected head is still in force, but the write may still be in flight.
 	return Unresolved.Wrap(err, "whether revision %d was accepted is not known", accepted.Number)
 }
 
@@ -84,7 +85,7 @@
 	if err != nil {
 		return plat.Write{}, Unresolved.Wrap(err, "the history could not be read; this attempt accepted nothing")
 	}
-	past = past.with(c.entry(accepted, restores), keptRevisions(accepted.Set), c.clock.Now())
+	past = past.prepend(c.entry(accepted, restores), keptRevisions(accepted.Set), c.clock.Now())
 	currentValue, err := json.Marshal(head{Number: accepted.Number, Digest: accepted.Digest})
 	if err != nil {
 		return plat.Write{}, err
@@ -93,7 +94,7 @@
 	if err != nil {
 		return plat.Write{}, err
 	}
-	// One transaction writes both rows always, so their versions are equal.
+	// Both rows are only ever written in one transaction, so their versions are equal.
 	return plat.Write{
 		Table: configTable,
 		ID:    writeID("config", accepted.Digest, accepted.Number-1),
@@ -104,8 +105,9 @@
 	}, nil
 }
 
-// outcome tells what became of the write that would have made the revision:
-// done, not done while the revision before it is still in force, or a Conflict.
+// outcome reports whether the write that would have made the wanted revision took effect.
+// It returns false while the previous revision is still in force, and Conflict if another
+// revision was accepted instead or the history no longer tells.
 func (c *Controller) outcome(ctx context.Context, current head, wanted Revision) (done bool, err error) {
 	expected := wanted.Number - 1
 	if current.Number == expected {
@@ -119,7 +121,7 @@
 	if err != nil {
 		return false, Unresolved.Wrap(err, "whether revision %d was accepted is not known", wanted.Number)
 	}
-	for _, entry := range past.Past {
+	for _, entry := range past.Entries {
 		if entry.Number != wanted.Number {
 			continue
 		}
@@ -131,7 +133,8 @@
 	return false, Conflict.Wrap(conflict, "whether this document was revision %d is no longer known", wanted.Number)
 }
 
-// putObject stores the document. A lost answer is settled by reading back.
+// putObject stores the document. If the answer is lost, it reads the object back to see
+// whether the write took effect.
 func (c *Controller) putObject(ctx context.Context, r Revision) error {
 	name := objectName(r.Number, r.Digest)
 	err := c.store.PutObject(ctx, name, r.Document)
@@ -157,7 +160,8 @@
 	return row, current, nil
 }
 
-// writeID names the write that follows the expected version with a document.
+// writeID returns the id of the write that replaces the expected version of a row with a
+// document.
 func writeID(table, digest string, expected int64) string {
 	return table + "-" + strconv.FormatInt(expected, 10) + "-" + digest
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,11 +1,11 @@
-// Package config knows which declarations are in force.
+// Package config distributes the configuration and the owner plans to all nodes.
 //
-// There is one line of revisions. A revision is accepted by one
-// compare-and-set of the row config/current, after its document has been put
-// into the object store under its number and digest. Nodes learn of it by
-// polling that row and from each other, and take higher revisions only. Owner
-// plans, one line of versions for each service, travel the same way. Former
-// revisions stay for a rollback, and are removed once there are too many.
+// Revisions of the configuration form a single sequence. A revision is accepted by one
+// compare-and-set of the row config/current, after its document has been put into the
+// object store under its number and digest. Nodes learn of a revision by polling that row
+// and from their peers, and only ever move to a higher one. Owner plans, one sequence of
+// versions for each service, are distributed in the same way. Former revisions are kept
+// for rollbacks and deleted once there are too many.
 package config
 
 import (
@@ -29,37 +29,38 @@
 )
 
 const (
-	// pollInterval is the mean time between two reads of the version row. At
-	// 530 nodes that is 265 reads/s of about two thousand.
+	// pollInterval is the mean time between two reads of the head row. With 530 nodes
+	// that is 265 reads/s of the roughly 2000 that the platform serves.
 	pollInterval = 2 * time.Second
-	// planPolls is how many polls of the version row there are to one of the
-	// owner plan. Plans are heard of from other nodes within a second; the poll is
-	// for a node that hears nobody. At 530 nodes the row has 4 KB.
+	// planPolls is the number of polls of the head row for each poll of the owner plan.
+	// Peers announce a new plan within a second; the poll serves a node that hears from
+	// no peer. With 530 nodes a plan's row has 4 KB.
 	planPolls = 5
-	// bootPeers is how many peers a node hears before it takes the highest of
-	// their revisions.
+	// bootPeers is the number of peers that must give a booting node their revision
+	// before the node takes the highest one.
 	bootPeers = 3
-	// bootPatience is how long a booting node waits for peers that do not
-	// answer. While the platform is down no lease runs out, so a dead host is
-	// still among the peers and must not keep others from starting.
-	bootPatience = 10 * time.Second
-	// bootHeadStart is the mean time that the platform has to answer before peers
-	// are asked; it takes some milliseconds.
-	bootHeadStart = 200 * time.Millisecond
+	// bootPeerTimeout is how long a booting node waits for peers that do not answer.
+	// While the platform is down no lease expires, so a dead host remains in the list of
+	// peers and must not keep other nodes from starting.
+	bootPeerTimeout = 10 * time.Second
+	// bootPlatformHeadStart is the mean time that a booting node gives the platform to
+	// answer before it asks peers. The platform normally answers within milliseconds.
+	bootPlatformHeadStart = 200 * time.Millisecond
 	// bootInterval is the mean wait between two attempts to boot.
 	bootInterval = 500 * time.Millisecond
-	// storeTimeout bounds one operation on the platform while nodes follow it.
+	// storeTimeout bounds one operation on the platform while a node polls it or commits.
 	storeTimeout = 3 * time.Second
-	// followWait is how long one question to a source waits for news where nodes are
-	// few. A source that has become silent is noticed after that, if not by the
-	// connection before. Each further followNodes wait as much longer, since one node
-	// that hears tells the others within a second, up to maxFollowWait.
-	followWait    = 2 * time.Second
-	followNodes   = 12
-	maxFollowWait = 16 * time.Second
-	// followRetry is the mean wait before a source that failed is asked again.
+	// minFollowWait is the time that one long poll of a source waits for a new revision
+	// in a small cluster. A source that has stopped answering is noticed after that time,
+	// or earlier if its connection fails. The wait grows by minFollowWait for each
+	// further nodesPerFollowWait nodes, up to maxFollowWait, since one node that learns
+	// of a revision tells the others within a second.
+	minFollowWait      = 2 * time.Second
+	nodesPerFollowWait = 12
+	maxFollowWait      = 16 * time.Second
+	// followRetry is the mean wait before the next request to a source that failed.
 	followRetry = 400 * time.Millisecond
-	// fetchTimeout bounds one fetch from a peer.
+	// fetchTimeout bounds one fetch of a peer's configuration.
 	fetchTimeout = 2 * time.Second
 
 	configTable = "config"
@@ -70,19 +71,20 @@
 
 var (
 	namespace = errorx.NewNamespace("config")
-	// Conflict means that the revision in force is not the expected one. Its
-	// message names both.
+	// Conflict means that the revision in force is not the expected one. Its message
+	// names both revisions.
 	Conflict = namespace.NewType("conflict")
-	// Unresolved means that the platform did not tell whether the revision was
-	// accepted. The same Commit may be sent again without accepting it twice.
+	// Unresolved means that it is not known whether the platform accepted the revision.
+	// The same Commit may be repeated; it is accepted at most once.
 	Unresolved = namespace.NewType("unresolved")
-	// Invalid means that the document cannot be read as declarations, or is
-	// not the one that its digest names.
+	// Invalid means that the document cannot be parsed as declarations, or does not match
+	// its digest.
 	Invalid = namespace.NewType("invalid")
-	// ReadOnly means that the configuration is written elsewhere.
+	// ReadOnly means that operators write the configuration on the platform, not through
+	// nodes.
 	ReadOnly = namespace.NewType("read_only")
-	// NoRevision means that neither the platform nor enough peers could say
-	// which revision is in force.
+	// NoRevision means that neither the platform nor enough peers could tell which
+	// revision is in force.
 	NoRevision = namespace.NewType("no_revision")
 )
 
@@ -94,34 +96,34 @@
 		// Digest is the SHA-256 of the document in hexadecimal.
 		Digest   string
 		Document []byte
-		// Set is the document as parsed. Offer fills it.
+		// Set is the parsed document. Offer fills it in.
 		Set *schema.Set
 	}
 
-	// Controller follows the revisions and owner plans. Its fields are set
-	// before its first use; its methods are safe for concurrent use.
+	// Controller tracks the revisions and owner plans. Its fields are set before its
+	// first use; its methods are safe for concurrent use.
 	Controller struct {
-		// Fetch asks the node at a relay address for its configuration and its
-		// owner plans of some services.
+		// Fetch requests the configuration and the owner plans of some services from the
+		// node at a relay address.
 		Fetch func(ctx context.Context, address string, plans []string) (*relaypb.FetchResponse, error)
-		// Name is the node's name, which the history tells; may be empty.
+		// Name is the node's name, which is recorded in the history; may be empty.
 		Name string
 		// Service is the node's own service, whose plan it polls; may be empty.
 		Service string
-		// Source follows the configuration of a platform whose operators write it
-		// there themselves. It returns the newest revision, or nil when none came
-		// in the time. Nil stands for revisions that nodes accept.
+		// Source long-polls the configuration on a platform whose operators write it
+		// there themselves. It returns the newest revision, or nil if none arrived within
+		// wait. A nil Source means that nodes accept the revisions.
 		Source func(ctx context.Context, wait time.Duration) (*Revision, error)
-		// Nodes returns how many nodes follow the same source and tell each other; nil
-		// stands for few.
+		// Nodes returns the number of nodes that follow the same source and tell each
+		// other of new revisions; nil means a small cluster.
 		Nodes func() int
-		// OnRevision is called after a revision came into force; may be nil.
+		// OnRevision is called after a revision has come into force; may be nil.
 		OnRevision func(revision *Revision)
-		// OnPlan is called after a newer owner plan was taken; may be nil.
+		// OnPlan is called after a newer owner plan has been stored; may be nil.
 		OnPlan func(service string, document []byte, version int64)
-		// Random draws from [0, 1).
+		// Random returns a random number in [0, 1).
 		Random func() float64
-		// Go runs work that waits for a peer; nil starts a goroutine.
+		// Go runs a function that waits for a peer; nil starts a goroutine.
 		Go func(work func())
 
 		store   plat.Store
@@ -129,14 +131,14 @@
 		clock   clock.Clock
 		log     hclog.Logger
 		current atomic.Pointer[Revision]
-		// highest is the highest number that was heard of.
+		// highest is the highest revision number that this node has heard of.
 		highest atomic.Int64
 
-		// order lets revisions come into force one after another, each with its
-		// OnRevision, so that a lower one never has the last word.
-		order sync.Mutex
+		// applyMu makes revisions come into force one at a time, each together with its
+		// OnRevision call, so that the last call is never for a lower revision.
+		applyMu sync.Mutex
 
-		mu       sync.Mutex // guards what follows
+		mu       sync.Mutex // guards the fields below
 		plans    map[string]plan
 		fetching bool
 	}
@@ -147,8 +149,8 @@
 	}
 )
 
-// New returns a controller without a revision. Answers of the store that were
-// lost are resolved; the store need not do so itself.
+// New returns a controller without a revision. It wraps the store with plat.Resolved, so
+// the store itself need not resolve lost answers.
 func New(store plat.Store, parse func([]byte) (*schema.Set, error), clk clock.Clock, log hclog.Logger) *Controller {
 	return &Controller{
 		Random: rand.Float64,
@@ -160,7 +162,7 @@
 	}
 }
 
-// Digest returns the digest of a document.
+// Digest returns the SHA-256 of a document in hexadecimal.
 func Digest(document []byte) string {
 	sum := sha256.Sum256(document)
 	return hex.EncodeToString(sum[:])
@@ -179,9 +181,9 @@
 	return 0
 }
 
-// Offer brings a revision into force if it is higher than the one that is, and
-// says whether it did. A document that does not fit its digest or cannot be
-// read is refused.
+// Offer brings a revision into force if it is higher than the present one, and reports
+// whether it did. A document that does not match its digest or cannot be parsed is
+// rejected.
 func (c *Controller) Offer(r Revision) bool {
 	if r.Number <= c.Number() {
 		return false
@@ -192,8 +194,8 @@
 		return false
 	}
 	r.Set = set
-	c.order.Lock()
-	defer c.order.Unlock()
+	c.applyMu.Lock()
+	defer c.applyMu.Unlock()
 	if r.Number <= c.Number() {
 		return false
 	}
@@ -205,15 +207,16 @@
 	return true
 }
 
-// Heard notes that a node has a revision, and fetches it if it is higher.
+// Heard records that the node at the address has the revision, and fetches the revision
+// if it is higher than the one in force here.
 func (c *Controller) Heard(ctx context.Context, from string, number int64) {
-	c.noteNumber(number)
+	c.raiseHighest(number)
 	if number > c.Number() {
 		c.fetchSoon(ctx, from, nil)
 	}
 }
 
-// Answer is the server's side of Fetch.
+// Answer serves a Fetch request of another node.
 func (c *Controller) Answer(req *relaypb.FetchRequest) *relaypb.FetchResponse {
 	resp := &relaypb.FetchResponse{}
 	if revision := c.Current(); revision != nil {
@@ -229,9 +232,9 @@
 	return resp
 }
 
-// Boot learns the revision in force before the node takes work, or returns with
-// the context. It asks the platform, and peers as soon as that takes long. The
-// function peers returns relay addresses, none while none are known.
+// Boot obtains the revision in force before the node takes work, or returns when the
+// context ends. It asks the platform, and after a short time peers as well. The function
+// peers returns the relay addresses of the peers known so far, if any.
 func (c *Controller) Boot(ctx context.Context, peers func() []string) error {
 	start := c.clock.Now()
 	polls := make(chan error, 1)
@@ -248,12 +251,12 @@
 			if storeErr == nil {
 				return nil
 			}
-		case <-c.clock.After(c.jitter(bootHeadStart)):
+		case <-c.clock.After(c.jitter(bootPlatformHeadStart)):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		patient := c.clock.Now().Sub(start) < bootPatience
-		if c.bootFromPeers(ctx, peers(), patient, storeErr) == nil {
+		requireQuorum := c.clock.Now().Sub(start) < bootPeerTimeout
+		if c.bootFromPeers(ctx, peers(), requireQuorum, storeErr) == nil {
 			return nil
 		}
 		if !polling {
@@ -262,7 +265,7 @@
 	}
 }
 
-// pauseBoot waits before a platform that failed is asked again.
+// pauseBoot waits before the next request to a platform that failed.
 func (c *Controller) pauseBoot(ctx context.Context) {
 	select {
 	case <-c.clock.After(c.jitter(bootInterval)):
@@ -270,33 +273,33 @@
 	}
 }
 
-// BootOnce learns the revision in force from the platform if it answers, else
-// the highest of several peers: three, or all when fewer are known. It returns
-// NoRevision if too few could tell. A platform that answers that there is no
-// revision yet is an answer; a peer without a revision is none. Without
-// patience one peer is enough.
-func (c *Controller) BootOnce(ctx context.Context, peers []string, patient bool) error {
+// BootOnce obtains the revision in force from the platform if it answers, otherwise the
+// highest one of several peers: bootPeers of them, which is three, or all if fewer are
+// known. It returns NoRevision if too few peers have a revision. The platform's answer
+// that no revision exists yet is valid; a peer without a revision does not count. Without
+// requireQuorum one peer is enough.
+func (c *Controller) BootOnce(ctx context.Context, peers []string, requireQuorum bool) error {
 	storeErr := c.Poll(ctx)
 	if storeErr == nil {
 		return nil
 	}
-	return c.bootFromPeers(ctx, peers, patient, storeErr)
+	return c.bootFromPeers(ctx, peers, requireQuorum, storeErr)
 }
 
-func (c *Controller) bootFromPeers(ctx context.Context, peers []string, patient bool, storeErr error) error {
-	heard := c.askPeers(ctx, peers)
+func (c *Controller) bootFromPeers(ctx context.Context, peers []string, requireQuorum bool, storeErr error) error {
+	answered := c.askPeers(ctx, peers)
 	enough := 1
-	if patient {
+	if requireQuorum {
 		enough = max(1, min(bootPeers, len(peers)))
 	}
-	if heard >= enough && c.Number() >= c.highest.Load() {
+	if answered >= enough && c.Number() >= c.highest.Load() {
 		return nil
 	}
-	return NoRevision.Wrap(storeErr, "%d of %d peers gave a revision", heard, len(peers))
+	return NoRevision.Wrap(storeErr, "%d of %d peers gave a revision", answered, len(peers))
 }
 
-// Run polls the version row until the context ends, and less often the plan. A
-// source is followed instead.
+// Run polls the head row until the context ends, and the owner plan less often. If Source
+// is set, Run follows it instead.
 func (c *Controller) Run(ctx context.Context) {
 	if c.Source != nil {
 		c.follow(ctx)
@@ -320,12 +323,12 @@
 	}
 }
 
-// follow waits for one revision after the other. A lost and a regained source
-// are logged once each.
+// follow long-polls the source for one revision after another. It logs once when the
+// source is lost and once when it answers again.
 func (c *Controller) follow(ctx context.Context) {
 	lost := false
 	for ctx.Err() == nil {
-		err := c.pull(ctx, c.followWait())
+		err := c.pullSource(ctx, c.followWait())
 		if err != nil && !lost {
 			c.log.Warn("source_lost", "revision", c.Number(), "error", err)
 		}
@@ -343,17 +346,17 @@
 	}
 }
 
-// followWait returns how long a question to the source waits.
+// followWait returns how long the next long poll of the source waits.
 func (c *Controller) followWait() time.Duration {
 	if c.Nodes == nil {
-		return followWait
+		return minFollowWait
 	}
-	shared := min(followWait*time.Duration(c.Nodes())/followNodes, maxFollowWait)
-	return max(c.jitter(shared), followWait)
+	shared := min(minFollowWait*time.Duration(c.Nodes())/nodesPerFollowWait, maxFollowWait)
+	return max(c.jitter(shared), minFollowWait)
 }
 
-// pull takes what the source has or brings within the wait.
-func (c *Controller) pull(ctx context.Context, wait time.Duration) error {
+// pullSource applies the newest revision that the source returns within wait.
+func (c *Controller) pullSource(ctx context.Context, wait time.Duration) error {
 	revision, err := c.Source(ctx, wait)
 	if err != nil {
 		return err
@@ -361,25 +364,25 @@
 	if revision == nil || revision.Number <= c.Number() {
 		return nil
 	}
-	c.noteNumber(revision.Number)
+	c.raiseHighest(revision.Number)
 	if !c.Offer(*revision) && c.Number() < revision.Number {
 		return Invalid.New("revision %d of the source was refused", revision.Number)
 	}
 	return nil
 }
 
-// Poll reads the version row and takes the revision it names, if higher.
+// Poll reads the head row and applies the revision that it names if that one is higher.
 func (c *Controller) Poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if c.Source != nil {
-		return c.pull(ctx, 0)
+		return c.pullSource(ctx, 0)
 	}
 	_, head, err := c.readHead(ctx)
 	if err != nil {
 		return err
 	}
-	c.noteNumber(head.Number)
+	c.raiseHighest(head.Number)
 	if head.Number <= c.Number() {
 		return nil
 	}
@@ -394,26 +397,26 @@
 	return nil
 }
 
-// askPeers fetches from peers in random order until bootPeers have given a
+// askPeers fetches from peers in random order until bootPeers of them have returned a
 // revision, and returns how many did.
-func (c *Controller) askPeers(ctx context.Context, peers []string) (heard int) {
+func (c *Controller) askPeers(ctx context.Context, peers []string) (answered int) {
 	peers = slices.Clone(peers)
 	for i := len(peers) - 1; i > 0; i-- {
 		j := min(int(c.Random()*float64(i+1)), i)
 		peers[i], peers[j] = peers[j], peers[i]
 	}
 	for _, peer := range peers {
-		if heard >= bootPeers || ctx.Err() != nil {
+		if answered >= bootPeers || ctx.Err() != nil {
 			break
 		}
 		if number, err := c.fetch(ctx, peer, nil); err == nil && number > 0 {
-			heard++
+			answered++
 		}
 	}
-	return heard
+	return answered
 }
 
-func (c *Controller) noteNumber(number int64) {
+func (c *Controller) raiseHighest(number int64) {
 	for {
 		highest := c.highest.Load()
 		if number <= highest || c.highest.CompareAndSwap(highest, number) {
@@ -422,8 +425,8 @@
 	}
 }
 
-// fetchSoon fetches from a node unless a fetch is on its way already. What
-// that one leaves out is heard of again with a later exchange.
+// fetchSoon starts a fetch from a node unless another one is in flight. A revision or
+// plan that is missed for this reason is announced again in a later exchange.
 func (c *Controller) fetchSoon(ctx context.Context, from string, services []string) {
 	c.mu.Lock()
 	busy := c.fetching || c.Fetch == nil
@@ -447,7 +450,8 @@
 	go work()
 }
 
-// fetch takes what a node has, and returns the number of its revision.
+// fetch requests the revision and the plans of a node, applies the newer ones, and
+// returns the number of the node's revision.
 func (c *Controller) fetch(ctx context.Context, from string, services []string) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -473,7 +477,7 @@
 	return set, nil
 }
 
-// jitter returns a time between half and one and a half of d.
+// jitter returns a random duration between 0.5*d and 1.5*d.
 func (c *Controller) jitter(d time.Duration) time.Duration {
 	return time.Duration((0.5 + c.Random()) * float64(d))
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -59,8 +59,8 @@
 	})
 }
 
-// TestOperatorsAtTheSameMoment lets the second commit between the first's read
-// of the head and its write.
+// TestOperatorsAtTheSameMoment runs the second commit between the read of the head and
+// the write of the first commit.
 func TestOperatorsAtTheSameMoment(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -71,11 +71,11 @@
 
 	slow := memory.Store()
 	commit := slow.Commit
-	var won config.Revision
+	var winner config.Revision
 	slow.Commit = func(ctx context.Context, write plat.Write) (int64, error) {
-		if won.Number == 0 {
+		if winner.Number == 0 {
 			var err error
-			won, err = second.Commit(ctx, []byte("of the second"), 1)
+			winner, err = second.Commit(ctx, []byte("of the second"), 1)
 			is.NoErr(err)
 		}
 		return commit(ctx, write)
@@ -83,15 +83,15 @@
 	first := controller(slow)
 	_, err = first.Commit(ctx, []byte("of the first"), 1)
 	is.True(errorx.IsOfType(err, config.Conflict))
-	is.True(strings.Contains(err.Error(), "expected revision 1, but revision 2 ("+won.Digest+")"))
-	is.Equal(first.Number(), int64(0)) // what was refused is not in force
+	is.True(strings.Contains(err.Error(), "expected revision 1, but revision 2 ("+winner.Digest+")"))
+	is.Equal(first.Number(), int64(0)) // the rejected revision is not in force
 	is.NoErr(first.Poll(ctx))
-	is.Equal(first.Current().Digest, won.Digest)
+	is.Equal(first.Current().Digest, winner.Digest)
 }
 
-// TestEveryOperatorHearsTheTruth runs operators against a platform that loses
-// answers; each repeats its commit while the fate is open. What they were told
-// must fit the one line of revisions.
+// TestEveryOperatorHearsTheTruth runs operators against a platform that loses answers;
+// each repeats its commit while the outcome is unresolved. The results that they get must
+// match the sequence of revisions.
 func TestEveryOperatorHearsTheTruth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -99,15 +99,15 @@
 		memory := plat.NewMemory()
 		random := rapid.Float64Range(0, 1)
 		faults := plat.Faults{LoseAnswers: 0.5, Random: func() float64 { return random.Draw(t, "loses") }}
-		line := make(map[int64]string) // what was in force, by number
+		history := make(map[int64]string) // documents that were in force, by number
 		observer := controller(memory.Store())
 		observe := func() {
 			memory.SetFaults(plat.Faults{})
 			is.NoErr(observer.Poll(ctx))
 			if r := observer.Current(); r != nil {
-				known, seen := line[r.Number]
+				known, seen := history[r.Number]
 				is.True(!seen || known == string(r.Document))
-				line[r.Number] = string(r.Document)
+				history[r.Number] = string(r.Document)
 			}
 			memory.SetFaults(faults)
 		}
@@ -130,41 +130,41 @@
 				told[document] = accepted.Number
 				expected[who] = accepted.Number
 			case errorx.IsOfType(err, config.Conflict):
-				for _, other := range line {
-					is.True(other != document) // told refused, and it is
+				for _, other := range history {
+					is.True(other != document) // a document reported as rejected was never in force
 				}
 				expected[who] = observer.Number()
 			}
 		}
 		for document, number := range told {
-			is.Equal(line[number], document)
+			is.Equal(history[number], document)
 		}
 		for number := int64(1); number <= observer.Number(); number++ {
-			is.True(line[number] != "") // no number was passed over or used twice
+			is.True(history[number] != "") // no number was skipped
 		}
 	})
 }
 
-// TestWriteOnItsWayIsNotCalledRefused delays a write until its writer has given
-// up waiting; it takes effect all the same.
+// TestWriteOnItsWayIsNotCalledRefused delays a write until its writer has timed out; the
+// write takes effect nevertheless.
 func TestWriteOnItsWayIsNotCalledRefused(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	memory := plat.NewMemory()
 	slow := memory.Store()
 	commit := slow.Commit
-	var onItsWay []plat.Write
+	var delayed []plat.Write
 	slow.Commit = func(_ context.Context, write plat.Write) (int64, error) {
-		onItsWay = append(onItsWay, write)
+		delayed = append(delayed, write)
 		return 0, plat.Unavailable.New("timed out")
 	}
 	operator := controller(slow)
 	_, err := operator.Commit(ctx, []byte("first"), 0)
 	is.True(errorx.IsOfType(err, config.Unresolved))
 	is.Equal(operator.Number(), int64(0))
-	is.True(len(onItsWay) > 1)
-	for _, write := range onItsWay {
-		_, _ = commit(ctx, write) // the first takes effect, the rest are the same write
+	is.True(len(delayed) > 1)
+	for _, write := range delayed {
+		_, _ = commit(ctx, write) // the first takes effect; the others repeat it with the same id
 	}
 	accepted, err := operator.Commit(ctx, []byte("first"), 0)
 	is.NoErr(err)
@@ -175,7 +175,7 @@
 	is.Equal(other.Current().Digest, accepted.Digest)
 }
 
-// TestBootTakesTheHighestOfThree draws the order of the peers anew each time.
+// TestBootTakesTheHighestOfThree runs 50 times, since the order of the peers is random.
 func TestBootTakesTheHighestOfThree(t *testing.T) {
 	is := is.New(t)
 	memory := plat.NewMemory()
@@ -202,8 +202,8 @@
 		r := revision(has[address], fmt.Sprintf("document-%d", has[address]))
 		return &relaypb.FetchResponse{Revision: r.Number, Digest: r.Digest, Document: r.Document}, nil
 	}
-	is.True(errorx.IsOfType(c.BootOnce(ctx, nil, false), config.NoRevision))                 // nobody to ask
-	is.True(errorx.IsOfType(c.BootOnce(ctx, []string{"unknown"}, false), config.NoRevision)) // nobody who knows
+	is.True(errorx.IsOfType(c.BootOnce(ctx, nil, false), config.NoRevision))                 // no peers
+	is.True(errorx.IsOfType(c.BootOnce(ctx, []string{"unknown"}, false), config.NoRevision)) // no peer with a revision
 	c.Heard(ctx, "unknown", 2)
 	is.True(errorx.IsOfType(c.BootOnce(ctx, []string{"a", "b", "c"}, true), config.NoRevision))
 	is.NoErr(c.BootOnce(ctx, []string{"b", "c", "d"}, true))
@@ -228,10 +228,10 @@
 	is.True(errorx.IsOfType(err, config.Conflict))
 	memory.SetFaults(plat.Faults{LoseAnswers: 1})
 	second, err := owner.CommitPlan(ctx, "orders", []byte("p3"), first)
-	is.NoErr(err) // its answer was lost, and the row tells
+	is.NoErr(err) // the answer was lost, but the row shows the write
 	again, err := owner.CommitPlan(ctx, "orders", []byte("p3"), first)
 	is.NoErr(err)
-	is.Equal(again, second) // one write
+	is.Equal(again, second) // written once
 
 	memory.SetFaults(plat.Faults{Down: true})
 	other.HeardPlans(ctx, "owner", owner.Plans())
@@ -243,7 +243,7 @@
 	is.Equal(taken, []int64{second})
 }
 
-// fastClock runs a thousand times as fast as the host's.
+// fastClock runs a thousand times as fast as the host's clock.
 type fastClock struct{ start time.Time }
 
 const speed = 1000
@@ -252,8 +252,8 @@
 
 func (c fastClock) After(d time.Duration) <-chan time.Time { return time.After(d / speed) }
 
-// TestBootAndRunInGoroutines boots in an outage, with a dead host among three
-// peers, and then follows the platform, for the race detector.
+// TestBootAndRunInGoroutines boots during an outage of the platform, with a dead host
+// among three peers, and then polls the platform. It is meant for the race detector.
 func TestBootAndRunInGoroutines(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -295,8 +295,8 @@
 	<-done
 }
 
-// A known owner plan is read seldom, since news of a newer one come from other
-// nodes; an unknown one is looked for with each poll.
+// A known owner plan is polled rarely, since other nodes announce a newer one; an unknown
+// plan is requested with each poll.
 func TestKnownPlanIsReadSeldom(t *testing.T) {
 	for _, test := range []struct {
 		known bool
@@ -326,8 +326,8 @@
 	}
 }
 
-// Two revisions that arrive together are put in force in their order, also where
-// the first takes long: the last to be put in force is the higher one.
+// Two revisions that arrive at the same time come into force in order, even if the first
+// takes long: the last one to come into force is the higher one.
 func TestRevisionsComeIntoForceInOrder(t *testing.T) {
 	is := is.New(t)
 	c := controller(plat.Store{})
@@ -336,7 +336,7 @@
 	c.OnRevision = func(r *config.Revision) {
 		if r.Number == 1 {
 			second.Go(func() { c.Offer(revision(2, "b")) })
-			time.Sleep(20 * time.Millisecond) // time enough to overtake
+			time.Sleep(20 * time.Millisecond) // lets the second revision overtake the first
 		}
 		inForce = append(inForce, r.Number)
 	}
--- a/internal/config/follow_test.go
+++ b/internal/config/follow_test.go
@@ -11,8 +11,9 @@
 	"github.com/dandelionfield/dandelionfield/internal/plat"
 )
 
-// Each question to the platform is paid for. With many nodes, of which one that hears
-// tells the others, each asks less often, and not all at the same time.
+// Each request to the platform has a cost. In a large cluster one node that learns of a
+// revision tells the others, so each node polls less often, and the nodes poll at
+// different times.
 func TestManyNodesAskTheSourceLessOften(t *testing.T) {
 	for _, test := range []struct {
 		nodes       int
--- a/internal/config/history.go
+++ b/internal/config/history.go
@@ -12,54 +12,55 @@
 )
 
 const (
-	// rememberedHeads is how many former heads the history row names at least,
-	// whatever number of revisions is kept, so that a writer whose answer was
-	// lost can still learn what became of its write.
-	rememberedHeads = 64
-	// fetchGrace is how long a revision stays after it was replaced, however
-	// few are kept: a slow node may have read the head row before.
-	fetchGrace = time.Hour
+	// minHistoryEntries is the least number of former heads that the history row names,
+	// however few revisions are kept, so that a writer whose answer was lost can still
+	// find out whether its write took effect.
+	minHistoryEntries = 64
+	// replacedRetention is how long a revision stays after it was replaced, however few
+	// are kept: a slow node may have read the head row before the replacement and fetch
+	// the document later.
+	replacedRetention = time.Hour
 )
 
 type (
-	// Entry is what the history tells of one accepted revision.
+	// Entry is the history record of one accepted revision.
 	Entry struct {
 		Number int64  `json:"number"`
 		Digest string `json:"digest"`
-		// AcceptedMS is the Unix time by the clock of the accepting node.
+		// AcceptedMS is the Unix time in milliseconds by the clock of the accepting node.
 		AcceptedMS int64 `json:"accepted_ms"`
-		// Node is the name of the node through which it was accepted.
+		// Node is the name of the node through which the revision was accepted.
 		Node string `json:"node"`
-		// Restores is the revision that a rollback went back to, else 0.
+		// Restores is the revision that a rollback restored, or 0.
 		Restores int64 `json:"restores,omitempty"`
-		// Changes is nil if the accepting node did not have the revision before.
+		// Changes is nil if the previous revision was not in force at the accepting node.
 		Changes *Counts `json:"changes,omitempty"`
 	}
 
-	// Counts says how many resources a revision changed.
+	// Counts holds the number of resources that a revision created, changed and deleted.
 	Counts struct {
 		Created int `json:"created"`
 		Changed int `json:"changed"`
 		Deleted int `json:"deleted"`
 	}
 
-	// history is the value of the row config/history: the accepted revisions,
-	// the latest first. It is written in one transaction with the head. Whoever
-	// replaces a head has read it, so a head that was ever in force is found
-	// here, and a writer whose answer was lost learns what became of its write
-	// even after another has overwritten it. It is a row of its own because
-	// nodes poll the head.
+	// history is the value of the row config/history: the accepted revisions, the latest
+	// first. It is written in one transaction with the head. A writer that replaces a
+	// head has read the history, so every head that was ever in force is entered in it,
+	// and a writer whose answer was lost learns whether its write took effect even after
+	// another write has replaced it. The history has its own row because nodes poll the
+	// head.
 	history struct {
-		Past []Entry `json:"past"`
+		Entries []Entry `json:"past"`
 	}
 )
 
 var (
-	// NotKept means that the platform does not have the revision. Its message
-	// says which ones it has.
+	// NotKept means that the platform does not have the revision. Its message names the
+	// revisions that are kept.
 	NotKept = namespace.NewType("not_kept")
-	// Unreachable means that the history could not be read because the platform
-	// gave no answer. Nothing was changed.
+	// Unreachable means that the history could not be read because the platform did not
+	// answer. Nothing was changed.
 	Unreachable = namespace.NewType("unreachable")
 )
 
@@ -69,23 +70,23 @@
 	defer cancel()
 	past, err := c.readHistory(ctx)
 	if err != nil {
-		return nil, unreachable(err)
+		return nil, unreachableError(err)
 	}
-	_, mark, err := c.readMark(ctx)
+	_, state, err := c.readCleanState(ctx)
 	if err != nil {
-		return nil, unreachable(err)
+		return nil, unreachableError(err)
 	}
-	kept := past.Past
+	kept := past.Entries
 	for i, entry := range kept {
-		if entry.Number < mark.Below {
+		if entry.Number < state.Below {
 			return kept[:i], nil
 		}
 	}
 	return kept, nil
 }
 
-// Load returns a kept revision, or NotKept, Unreachable or Invalid. The one in
-// force here needs no platform.
+// Load returns a kept revision, or the error NotKept, Unreachable or Invalid. The
+// revision in force at this node is returned without a request to the platform.
 func (c *Controller) Load(ctx context.Context, number int64) (Revision, error) {
 	if current := c.Current(); current != nil && current.Number == number {
 		return *current, nil
@@ -97,9 +98,9 @@
 	return c.loadFrom(ctx, kept, number)
 }
 
-// Rollback accepts the document of a kept revision as the revision after the
-// expected one. Besides the errors of Commit it returns those of Load; then
-// nothing was changed. As with Commit, one that is sent again is accepted once.
+// Rollback accepts the document of a kept revision as the revision after the expected
+// one. It returns the errors of Commit and those of Load; after an error of Load nothing
+// was changed. Like Commit it is idempotent: a repeated call is accepted once.
 func (c *Controller) Rollback(ctx context.Context, number, expected int64) (Revision, error) {
 	kept, err := c.History(ctx)
 	if err != nil {
@@ -108,7 +109,8 @@
 	source := number
 	for _, entry := range kept {
 		if entry.Number == expected+1 && entry.Restores == number {
-			// It was accepted before, and the former revision may be gone since.
+			// The same rollback was accepted before; the document that it restored may
+			// have been deleted since.
 			source = entry.Number
 		}
 	}
@@ -125,7 +127,7 @@
 			return c.loadEntry(ctx, entry, kept)
 		}
 	}
-	return Revision{}, notKept(kept, number)
+	return Revision{}, notKeptError(kept, number)
 }
 
 func (c *Controller) loadEntry(ctx context.Context, entry Entry, kept []Entry) (Revision, error) {
@@ -133,10 +135,10 @@
 	defer cancel()
 	document, err := c.store.GetObject(ctx, objectName(entry.Number, entry.Digest))
 	if errorx.IsOfType(err, plat.NotFound) {
-		return Revision{}, notKept(kept, entry.Number) // deleted since the history was read
+		return Revision{}, notKeptError(kept, entry.Number) // deleted since the history was read
 	}
 	if err != nil {
-		return Revision{}, unreachable(err)
+		return Revision{}, unreachableError(err)
 	}
 	revision := Revision{Number: entry.Number, Digest: entry.Digest, Document: document}
 	revision.Set, err = c.verify(revision)
@@ -155,7 +157,7 @@
 	return past, nil
 }
 
-// entry describes a revision that is about to be accepted.
+// entry returns the history record of a revision that is about to be accepted.
 func (c *Controller) entry(accepted Revision, restores int64) Entry {
 	return Entry{
 		Number:     accepted.Number,
@@ -189,24 +191,24 @@
 	return counts
 }
 
-// with returns the history after one more revision, without what is neither
-// among the latest nor fresh.
-func (h history) with(accepted Entry, kept int, now time.Time) history {
-	longer := history{Past: append([]Entry{accepted}, h.Past...)}
-	for i := max(kept, rememberedHeads); i < len(longer.Past); i++ {
-		if !longer.fresh(i, now) {
-			longer.Past = longer.Past[:i]
+// prepend returns the history with one more revision, without entries that are neither
+// among the latest nor recently in force.
+func (h history) prepend(accepted Entry, kept int, now time.Time) history {
+	longer := history{Entries: append([]Entry{accepted}, h.Entries...)}
+	for i := max(kept, minHistoryEntries); i < len(longer.Entries); i++ {
+		if !longer.recentlyInForce(i, now) {
+			longer.Entries = longer.Entries[:i]
 		}
 	}
 	return longer
 }
 
-// floor returns the lowest number whose document stays: each of the latest,
-// and each that was in force until less than fetchGrace ago.
-func (h history) floor(kept int, now time.Time) int64 {
+// lowestKept returns the lowest revision number whose document is kept: one of the latest
+// kept revisions, or one that was in force less than replacedRetention ago.
+func (h history) lowestKept(kept int, now time.Time) int64 {
 	lowest := int64(0)
-	for i, entry := range h.Past {
-		if i >= kept && !h.fresh(i, now) {
+	for i, entry := range h.Entries {
+		if i >= kept && !h.recentlyInForce(i, now) {
 			break
 		}
 		lowest = entry.Number
@@ -214,15 +216,16 @@
 	return lowest
 }
 
-// fresh says whether a revision is in force or was replaced a short time ago.
-func (h history) fresh(i int, now time.Time) bool {
+// recentlyInForce reports whether entry i is in force or was replaced less than
+// replacedRetention ago.
+func (h history) recentlyInForce(i int, now time.Time) bool {
 	if i == 0 {
 		return true
 	}
-	return now.Sub(time.UnixMilli(h.Past[i-1].AcceptedMS)) < fetchGrace
+	return now.Sub(time.UnixMilli(h.Entries[i-1].AcceptedMS)) < replacedRetention
 }
 
-// keptRevisions returns how many revisions a set keeps.
+// keptRevisions returns the number of revisions that a set asks to keep.
 func keptRevisions(set *schema.Set) int {
 	if set == nil || set.Limits.KeptRevisions <= 0 {
 		return schema.DefaultLimits().KeptRevisions
@@ -230,7 +233,7 @@
 	return set.Limits.KeptRevisions
 }
 
-func notKept(kept []Entry, number int64) error {
+func notKeptError(kept []Entry, number int64) error {
 	if len(kept) == 0 {
 		return NotKept.New("there is no revision %d: nothing has been accepted yet", number)
 	}
@@ -242,7 +245,7 @@
 		number, oldest, latest)
 }
 
-func unreachable(err error) error {
+func unreachableError(err error) error {
 	if errorx.IsOfType(err, Invalid) {
 		return err
 	}
--- a/internal/config/plans.go
+++ b/internal/config/plans.go
@@ -8,8 +8,8 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
-// Plan returns the newest known owner plan of a service, and version 0 if none
-// is known. The caller must not change the document.
+// Plan returns the newest known owner plan of a service, or version 0 if none is known.
+// The caller must not modify the document.
 func (c *Controller) Plan(service string) (document []byte, version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,8 +28,8 @@
 	return versions
 }
 
-// OfferPlan takes an owner plan if it is newer than the known one, and says
-// whether it did.
+// OfferPlan stores an owner plan if it is newer than the known one, and reports whether
+// it did.
 func (c *Controller) OfferPlan(service string, document []byte, version int64) bool {
 	c.mu.Lock()
 	newer := version > c.plans[service].version
@@ -43,8 +43,8 @@
 	return newer
 }
 
-// HeardPlans notes the versions of owner plans that a node has, and fetches
-// those that are newer.
+// HeardPlans fetches the owner plans of which the node at the address has a newer
+// version.
 func (c *Controller) HeardPlans(ctx context.Context, from string, versions []*relaypb.PlanVersion) {
 	var services []string
 	for _, heard := range versions {
@@ -57,10 +57,10 @@
 	}
 }
 
-// CommitPlan replaces the owner plan of a service if its version is still the
-// expected one (0 for none), and returns the version it made. It returns
-// Conflict if another plan is there, and Unresolved if the platform did not
-// tell; the same CommitPlan may then be sent again.
+// CommitPlan replaces the owner plan of a service if its version is still the expected
+// one (0 for none), and returns the new version. It returns Conflict if another plan is
+// stored, and Unresolved if the outcome is unknown; the same CommitPlan may then be
+// repeated.
 func (c *Controller) CommitPlan(ctx context.Context, service string, document []byte, expected int64) (version int64, err error) {
 	id := writeID("owners-"+service, Digest(document), expected)
 	change := plat.Change{Key: service, Value: document, Expected: expected}
