--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,9 +1,8 @@
-// Package admin is the door to operators: the resource API, the status, the
-// metrics and the probes of one node, over HTTP on an address of its own.
+// Package admin serves the operators' interface of one node over HTTP on an address of
+// its own: the resource API, the status, the metrics and the probes.
 //
-// The server decides nothing. Its function fields are filled by the node; the
-// handlers read requests, check documents and write answers as JSON with
-// snake_case keys.
+// The server contains no policy. The node fills in its function fields; the handlers read
+// requests, validate documents and write answers as JSON with snake_case keys.
 package admin
 
 import (
@@ -26,52 +25,51 @@
 )
 
 type (
-	// Server answers operators. All function fields must be set.
+	// Server serves the operators' requests. All function fields must be set.
 	Server struct {
 		Log hclog.Logger
-		// Token is what operators show as a bearer token under /v1; empty
-		// lets everybody in. Probes and metrics never need it.
+		// Token is the bearer token that requests under /v1 must carry; empty disables
+		// the check. Probes and metrics never need it.
 		Token    string
 		Registry *prometheus.Registry
-		// Apply commits the document as the revision after expected. It
-		// returns NewConflict or config.Conflict when another revision is in
-		// force, and config.Unresolved when that is not known. A dry
-		// run checks the expected revision and commits nothing. Changes and
-		// Digest of the result may be left empty.
+		// Apply commits the document as the revision after expected. It returns
+		// NewConflict or config.Conflict when another revision is in force, and
+		// config.Unresolved when the outcome is unknown. A dry run checks the expected
+		// revision and commits nothing. Changes and Digest of the result may be left
+		// empty.
 		Apply func(ctx context.Context, document []byte, expected int64, dryRun bool) (Applied, error)
-		// Current returns the revision in force at this node; the number is 0
-		// and the set may be nil when there is none yet.
+		// Current returns the revision in force at this node; the number is 0 and the set
+		// may be nil when there is none yet.
 		Current func() (number int64, set *schema.Set, document []byte)
-		// History returns the revisions that are kept, the latest first. It and
-		// the next two return config.NotKept, config.Unreachable or
-		// config.Invalid when a former revision cannot be had.
+		// History returns the revisions that are kept, the latest first. History, Former
+		// and Rollback return config.NotKept, config.Unreachable or config.Invalid when a
+		// former revision is not available.
 		History func(ctx context.Context) ([]config.Entry, error)
 		// Former returns a kept revision.
 		Former func(ctx context.Context, number int64) (config.Revision, error)
-		// Rollback is Apply with the document of a kept revision. Its result
-		// has the changes.
+		// Rollback does what Apply does, with the document of a kept revision. Its result
+		// contains the changes.
 		Rollback func(ctx context.Context, number, expected int64, dryRun bool) (Applied, error)
-		// Watch blocks until a revision above after is in force here.
+		// Watch blocks until a revision above after is in force at this node.
 		Watch  func(ctx context.Context, after int64) (number int64, set *schema.Set, err error)
 		Status func(ctx context.Context) Status
-		// Drain begins a planned stop and returns once it has begun.
+		// Drain starts a planned stop and returns once the stop has started.
 		Drain func(ctx context.Context) error
 		// Ready reports whether the node takes work.
 		Ready func() bool
-		// Heartbeat is the time between lines of a watch on which nothing
-		// else is sent; 0 means DefaultHeartbeat.
+		// Heartbeat is the interval of heartbeat lines on a watch that sends nothing
+		// else; 0 means DefaultHeartbeat.
 		Heartbeat time.Duration
 	}
 
 	// Applied is the answer to an accepted document.
 	Applied struct {
-		// Revision is the accepted one, or for a dry run the one in force.
+		// Revision is the accepted revision, or for a dry run the one in force.
 		Revision int64  `json:"revision"`
 		Digest   string `json:"digest"`
 		DryRun   bool   `json:"dry_run"`
-		// Superseded is the revision in force when that is a higher one than
-		// the accepted one: then the document was accepted before, and the
-		// changes are left out.
+		// Superseded is the revision in force if that is higher than Revision. The
+		// document was then accepted by an earlier request, and Changes is left empty.
 		Superseded int64           `json:"superseded,omitempty"`
 		Changes    []schema.Change `json:"changes"`
 	}
@@ -89,46 +87,46 @@
 	Event struct {
 		Revision int64  `json:"revision"`
 		Digest   string `json:"digest,omitempty"`
-		// Heartbeat marks a line that tells only that the stream lives.
+		// Heartbeat marks a line that is sent only to show that the connection is alive.
 		Heartbeat bool `json:"heartbeat,omitempty"`
-		// Changes is relative to the event before on the same stream; the
-		// first event has none and Document instead.
+		// Changes is relative to the previous event of the same stream; the first event
+		// has no Changes but a Document.
 		Changes  []schema.Change `json:"changes,omitempty"`
 		Document string          `json:"document,omitempty"`
 	}
 
-	// Failure is the body of every answer that is an error.
+	// Failure is the body of every error answer.
 	Failure struct {
 		Error string `json:"error"`
-		// Expected and Current are the two revisions of a conflict. Current is
-		// absent when this node has not learned yet which revision won.
+		// Expected and Current are the two revisions of a conflict. Current is absent
+		// while this node does not know yet which revision was accepted instead.
 		Expected *int64 `json:"expected_revision,omitempty"`
 		Current  *int64 `json:"current_revision,omitempty"`
-		// Unchanged is set when the platform gave no answer and it is certain
-		// that nothing was accepted.
+		// Unchanged is set when the platform did not answer and it is certain that no
+		// change was accepted.
 		Unchanged bool           `json:"unchanged,omitempty"`
 		Problems  place.Problems `json:"problems,omitempty"`
 	}
 )
 
 const (
-	// DefaultHeartbeat is the time between lines of a silent watch.
+	// DefaultHeartbeat is the interval of heartbeat lines on an idle watch.
 	DefaultHeartbeat = 5 * time.Second
-	// maxDocumentBytes bounds the body of an apply.
+	// maxDocumentBytes bounds the body of an apply request.
 	maxDocumentBytes = 4 << 20
 )
 
 var (
 	namespace = errorx.NewNamespace("admin")
-	// Conflict means that another revision than the expected one is in force.
+	// Conflict means that the revision in force is not the expected one.
 	Conflict = namespace.NewType("conflict")
 
 	propertyExpected = errorx.RegisterPrintableProperty("expected")
 	propertyCurrent  = errorx.RegisterPrintableProperty("current")
 )
 
-// NewConflict returns the error of an apply whose expected revision is not the
-// one in force.
+// NewConflict returns the error of a change whose expected revision is not the one in
+// force.
 func NewConflict(expected, current int64) error {
 	return Conflict.New("expected revision %d, but revision %d is in force", expected, current).
 		WithProperty(propertyExpected, expected).
@@ -167,8 +165,8 @@
 	return app
 }
 
-// authorise refuses requests without the token. Digests are compared, so that
-// the time tells nothing of the token, not even its length.
+// authorise rejects requests without the token. It compares digests in constant time, so
+// that the duration reveals nothing about the token, not even its length.
 func (s *Server) authorise(ctx iris.Context) {
 	if s.Token == "" {
 		ctx.Next()
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -20,95 +20,96 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// testToken is what the scripted requests show unless told otherwise.
+// testToken is the token of the scripted requests unless they name another.
 const testToken = "0123456789abcdef"
 
-// line is the revision line of a fake node.
-type line struct {
+// fakeNode is a node with its sequence of revisions in memory.
+type fakeNode struct {
 	number int64
 	set    *schema.Set
-	// fail is returned by the next apply.
+	// fail is the error of the next requests, or nil.
 	fail error
-	// before is a revision that every apply finds accepted before.
-	before int64
-	ready  bool
+	// alreadyAccepted makes every apply return this revision, as if an earlier request
+	// had been accepted; 0 disables it.
+	alreadyAccepted int64
+	ready           bool
 }
 
-func (l *line) server() *Server {
+func (node *fakeNode) server() *Server {
 	return &Server{
 		Log:      hclog.NewNullLogger(),
 		Token:    testToken,
 		Registry: prometheus.NewRegistry(),
 		Current: func() (int64, *schema.Set, []byte) {
-			if l.set == nil {
+			if node.set == nil {
 				return 0, nil, nil
 			}
-			return l.number, l.set, l.set.Document()
+			return node.number, node.set, node.set.Document()
 		},
-		Apply: l.apply,
+		Apply: node.apply,
 		History: func(context.Context) ([]config.Entry, error) {
-			return []config.Entry{{Number: 2, Digest: "d2", Node: "orders-1", Restores: 1}, {Number: 1, Digest: "d1"}}, l.fail
+			return []config.Entry{{Number: 2, Digest: "d2", Node: "orders-1", Restores: 1}, {Number: 1, Digest: "d1"}}, node.fail
 		},
 		Former: func(_ context.Context, number int64) (config.Revision, error) {
-			return config.Revision{Number: number, Set: l.set, Document: []byte("former")}, l.fail
+			return config.Revision{Number: number, Set: node.set, Document: []byte("former")}, node.fail
 		},
 		Rollback: func(ctx context.Context, _, expected int64, dryRun bool) (Applied, error) {
-			return l.apply(ctx, l.set.Document(), expected, dryRun)
+			return node.apply(ctx, node.set.Document(), expected, dryRun)
 		},
-		Ready:  func() bool { return l.ready },
+		Ready:  func() bool { return node.ready },
 		Drain:  func(context.Context) error { return nil },
-		Status: func(context.Context) Status { return Status{Node: "orders-1", Revision: l.number} },
+		Status: func(context.Context) Status { return Status{Node: "orders-1", Revision: node.number} },
 	}
 }
 
-func (l *line) apply(_ context.Context, document []byte, expected int64, dryRun bool) (Applied, error) {
-	if l.fail != nil {
-		return Applied{}, l.fail
+func (node *fakeNode) apply(_ context.Context, document []byte, expected int64, dryRun bool) (Applied, error) {
+	if node.fail != nil {
+		return Applied{}, node.fail
 	}
-	if l.before > 0 {
-		return Applied{Revision: l.before}, nil
+	if node.alreadyAccepted > 0 {
+		return Applied{Revision: node.alreadyAccepted}, nil
 	}
-	if expected != l.number {
-		return Applied{}, NewConflict(expected, l.number)
+	if expected != node.number {
+		return Applied{}, NewConflict(expected, node.number)
 	}
 	if dryRun {
-		return Applied{Revision: l.number}, nil
+		return Applied{Revision: node.number}, nil
 	}
 	set, err := schema.Parse("apply", document)
 	if err != nil {
 		return Applied{}, err
 	}
-	l.number++
-	l.set = set
-	return Applied{Revision: l.number}, nil
+	node.number++
+	node.set = set
+	return Applied{Revision: node.number}, nil
 }
 
-// TestRequests runs testdata/requests: each command is a request to a node,
-// its input the body, its output the status and body of the answer.
+// TestRequests runs testdata/requests: each command is a request to a node, its input is
+// the body, and its output is the status and body of the answer.
 func TestRequests(t *testing.T) {
-	l := &line{}
-	handler := l.server().Handler()
+	node := &fakeNode{}
+	handler := node.server().Handler()
 	datadriven.RunTest(t, "testdata/requests", func(t *testing.T, d *datadriven.TestData) string {
 		if d.Cmd == "set" {
-			l.ready = d.HasArg("ready")
-			l.fail, l.before = nil, 0
+			node.ready = d.HasArg("ready")
+			node.fail, node.alreadyAccepted = nil, 0
 			if d.HasArg("before") {
-				l.before = 1
+				node.alreadyAccepted = 1
 			}
 			if d.HasArg("unresolved") {
-				l.fail = config.Unresolved.New("whether revision 2 was accepted is not known")
+				node.fail = config.Unresolved.New("whether revision 2 was accepted is not known")
 			}
 			if d.HasArg("gone") {
-				l.fail = config.NotKept.New("revision 1 is not kept any more")
+				node.fail = config.NotKept.New("revision 1 is not kept any more")
 			}
 			if d.HasArg("unreachable") {
-				l.fail = config.Unreachable.New("the platform gave no answer")
+				node.fail = config.Unreachable.New("the platform gave no answer")
 			}
 			if d.HasArg("invalid") {
-				l.fail = config.Invalid.New("the document cannot be read")
+				node.fail = config.Invalid.New("the document cannot be read")
 			}
 			if d.HasArg("conflict") {
-				l.fail = config.Conflict.New("expected revision 1, but revision 2 is in force")
+				node.fail = config.Conflict.New("expected revision 1, but revision 2 is in force")
 			}
 			return "ok\n"
 		}
@@ -138,11 +139,11 @@
 	return string(text)
 }
 
-// TestWatchEndsWithItsReader sees a watch send a revision, then heartbeats, and
-// release the node's wait when the reader goes.
-func TestWatchEndsWithItsReader(t *testing.T) {
+// TestWatchEndsOnDisconnect checks that a watch sends a revision, then heartbeats, and
+// cancels the node's Watch call when the client disconnects.
+func TestWatchEndsOnDisconnect(t *testing.T) {
 	is := is.New(t)
-	server := (&line{}).server()
+	server := (&fakeNode{}).server()
 	server.Heartbeat = time.Millisecond
 	released := make(chan struct{})
 	server.Watch = func(ctx context.Context, after int64) (int64, *schema.Set, error) {
@@ -178,9 +179,9 @@
 	<-released
 }
 
-// TestDegradedOnlyWhenAPersonIsNeeded runs the cases that heal by themselves
-// beside those that do not.
-func TestDegradedOnlyWhenAPersonIsNeeded(t *testing.T) {
+// TestDegradedOnlyWhenOperatorIsNeeded covers faults that recover automatically and
+// faults that need an operator.
+func TestDegradedOnlyWhenOperatorIsNeeded(t *testing.T) {
 	healthy := Status{
 		Revision:          4,
 		PlatformReachable: true,
@@ -211,12 +212,12 @@
 			s.Services = []Service{{Name: "s"}}
 			s.Members[0] = Member{Name: "a", Service: "s", State: "starting", Revision: 4, AgeMS: startGrace.Milliseconds()}
 		}, "start targets of s"},
-		{"one of two targets stopped", func(s *Status) { s.Services = stopped(true, false) }, ""},
+		{"one of two targets stopped", func(s *Status) { s.Services = serviceWithTargets(true, false) }, ""},
 		{"all targets stopped a moment ago", func(s *Status) {
-			s.Services = stopped(true)
+			s.Services = serviceWithTargets(true)
 			s.Services[0].Targets[0].StoppedMS = stopGrace.Milliseconds()
 		}, ""},
-		{"all targets stopped", func(s *Status) { s.Services = stopped(true, true) }, "restart targets of s"},
+		{"all targets stopped", func(s *Status) { s.Services = serviceWithTargets(true, true) }, "restart targets of s"},
 		{"keys of a lost host", func(s *Status) { s.Services[0].Unowned = &Unowned{Slots: 1, Of: 12, Until: "later"} }, ""},
 		{"handover waits", func(s *Status) { s.Members[1].PendingHandovers = 1 }, ""},
 		{"two services without targets", func(s *Status) { s.Services = []Service{{Name: "s"}, {Name: "t"}} }, "start targets of s, t"},
@@ -238,8 +239,9 @@
 	}
 }
 
-// stopped returns a service whose targets are ready, and have stopped or not.
-func stopped(targets ...bool) []Service {
+// serviceWithTargets returns a service whose targets are all ready; each argument tells
+// whether one target has stopped.
+func serviceWithTargets(targets ...bool) []Service {
 	service := Service{Name: "s"}
 	for _, has := range targets {
 		target := Target{Node: "n", State: StateReady}
@@ -251,8 +253,9 @@
 	return []Service{service}
 }
 
-// TestConditionsNameWhatPasses looks where a person looks for what heals by itself.
-func TestConditionsNameWhatPasses(t *testing.T) {
+// TestConditionsReportTransientFaults checks that faults that recover automatically
+// appear in their conditions, but not in Degraded.
+func TestConditionsReportTransientFaults(t *testing.T) {
 	cases := []struct {
 		condition string
 		change    func(*Status)
@@ -261,7 +264,7 @@
 		{PlatformAnswers, func(s *Status) { s.PlatformReachable = false }, "silent for 3m0s"},
 		{KeysOwned, func(s *Status) { s.Services[0].Unowned = &Unowned{Slots: 1, Of: 12, Until: "later"} }, "orders 9% until later"},
 		{HandedOver, func(s *Status) { s.Members[0].PendingHandovers = 1 }, "at orders-1"},
-		{TargetsGoOn, func(s *Status) { s.Services[0].Targets[0].StoppedMS = 1 }, "orders-1"},
+		{TargetsRunning, func(s *Status) { s.Services[0].Targets[0].StoppedMS = 1 }, "orders-1"},
 	}
 	for _, c := range cases {
 		t.Run(c.condition, func(t *testing.T) {
@@ -271,18 +274,18 @@
 				Members:  []Member{{Name: "orders-1", Revision: 1}},
 				Services: []Service{{Name: "orders", Targets: []Target{{Node: "orders-1", State: StateReady}}}},
 			}
-			is.True(holds(status, c.condition).Holds)
+			is.True(findCondition(status, c.condition).Holds)
 			c.change(&status)
-			broken := holds(status, c.condition)
+			broken := findCondition(status, c.condition)
 			is.True(!broken.Holds)
 			is.True(strings.Contains(broken.Message, c.message))
-			is.True(!holds(status, Degraded).Holds) // nobody has to act
+			is.True(!findCondition(status, Degraded).Holds) // no operator has to act
 		})
 	}
 }
 
-// holds returns a condition of the completed status.
-func holds(status Status, condition string) Condition {
+// findCondition returns a condition of the completed status.
+func findCondition(status Status, condition string) Condition {
 	status.Conditions = nil
 	status.Complete()
 	for _, c := range status.Conditions {
--- a/internal/admin/condition.go
+++ b/internal/admin/condition.go
@@ -8,12 +8,12 @@
 	"github.com/dandelionfield/dandelionfield/internal/member"
 )
 
-// Condition is one statement about the mesh.
+// Condition is one statement about the state of the mesh.
 type Condition struct {
 	Type    string `json:"type"`
 	Holds   bool   `json:"holds"`
 	Message string `json:"message"`
-	// Action is what a person needs to do; empty when nothing is needed.
+	// Action tells the operator what to do; empty when nothing is needed.
 	Action string `json:"action"`
 }
 
@@ -23,61 +23,63 @@
 	Accepted = "accepted"
 	// InForce holds when the highest known revision is in force everywhere.
 	InForce = "in_force"
-	// Degraded holds when only a person can help.
+	// Degraded holds when an operator has to act.
 	Degraded = "degraded"
-	// PlatformAnswers holds when the platform answered this node's last question.
+	// PlatformAnswers holds when the platform answered the last request of this node.
 	PlatformAnswers = "platform_answers"
-	// KeysOwned holds when every idempotency key that is minted now has an owner
-	// that lives.
+	// KeysOwned holds when every idempotency key that is minted now has a live owner.
 	KeysOwned = "keys_owned"
-	// HandedOver holds when no node waits to write a handover into the plan.
+	// HandedOver holds when no node has a handover that is not yet written into the owner
+	// plan.
 	HandedOver = "handed_over"
-	// TargetsGoOn holds when no target has stopped working.
-	TargetsGoOn = "targets_go_on"
+	// TargetsRunning holds when no target has stopped working.
+	TargetsRunning = "targets_go_on"
 )
 
 const (
-	// ActionSeparator stands between what a person has to do.
+	// ActionSeparator separates the actions of a condition, and its messages.
 	ActionSeparator = "; "
-	// listedNames is how many names a message holds: it has to fit on a line.
-	listedNames = 3
+	// maxListedNames is how many names a message lists, so that the message fits on a
+	// line.
+	maxListedNames = 3
 
-	// startGrace is how long a member may start before a person is called.
+	// startGrace is how long a member may take to start before the operator is alerted.
 	startGrace = time.Minute
-	// stopGrace is how long all targets of a service may have stopped before a
-	// person is called: a pause of them all may pass.
+	// stopGrace is how long all targets of a service may have stopped before the operator
+	// is alerted: a shorter pause of all of them may end without an operator.
 	stopGrace = time.Minute
-	// rolloutGrace is how long members may lag before a person is called.
+	// rolloutGrace is how long members may lag before the operator is alerted.
 	rolloutGrace = 30 * time.Second
-	// platformGrace is how long the platform may be silent before a person is
-	// called: calls are served meanwhile, only changes are not accepted.
+	// platformGrace is how long the platform may be silent before the operator is
+	// alerted: calls are served in the meantime, and only changes are not accepted.
 	platformGrace = 10 * time.Minute
 )
 
-// todo collects what only a person can mend.
-type todo struct {
+// operatorTasks collects the faults that only an operator can fix, with the action for
+// each.
+type operatorTasks struct {
 	messages []string
 	actions  []string
 }
 
-func (t *todo) add(message, action string) {
+func (t *operatorTasks) add(message, action string) {
 	t.messages = append(t.messages, message)
 	t.actions = append(t.actions, action)
 }
 
-// Names joins the first names of a list and counts the others.
-func Names(names []string) string {
-	listed := strings.Join(names[:min(len(names), listedNames)], ", ")
-	if rest := len(names) - listedNames; rest > 0 {
+// JoinNames joins the first maxListedNames names of a list and counts the others.
+func JoinNames(names []string) string {
+	listed := strings.Join(names[:min(len(names), maxListedNames)], ", ")
+	if rest := len(names) - maxListedNames; rest > 0 {
 		return fmt.Sprintf("%s and %d more", listed, rest)
 	}
 	return listed
 }
 
-func (s *Status) judge() []Condition {
+func (s *Status) computeConditions() []Condition {
 	return []Condition{
 		s.accepted(), s.inForce(), s.degraded(),
-		s.platformAnswers(), s.keysOwned(), s.handedOver(), s.targetsGoOn(),
+		s.platformAnswers(), s.keysOwned(), s.handedOver(), s.targetsRunning(),
 	}
 }
 
@@ -98,19 +100,20 @@
 	}
 }
 
-// degraded names only what does not heal by itself. Overload, ejected targets,
-// keys of a lost host and short outages of the platform are the system's own work.
+// degraded reports only faults that do not recover automatically. Overload, ejected
+// targets, keys of a lost host and short outages of the platform are handled without an
+// operator.
 func (s *Status) degraded() Condition {
-	var t todo
+	var t operatorTasks
 	if s.Revision == 0 && s.PlatformReachable {
 		t.add("the node has no configuration", "apply a configuration")
 	}
-	s.judgeServices(&t)
+	s.checkServices(&t)
 	if !s.PlatformReachable && s.PlatformSilentMS > platformGrace.Milliseconds() {
-		t.add(fmt.Sprintf("the platform has been silent for %s; the configuration cannot be changed", s.silence()), "bring the platform back")
+		t.add(fmt.Sprintf("the platform has been silent for %s; the configuration cannot be changed", s.platformSilence()), "bring the platform back")
 	}
 	if len(s.Rollout.Lagging) > 0 && s.RevisionAgeMS > rolloutGrace.Milliseconds() {
-		lagging := Names(s.Rollout.Lagging)
+		lagging := JoinNames(s.Rollout.Lagging)
 		t.add("members lag behind the revision: "+lagging, "look at the hosts of "+lagging)
 	}
 	if len(t.messages) == 0 {
@@ -124,23 +127,23 @@
 	}
 }
 
-// judgeServices adds the services that nobody serves: without a target that takes
-// work, or with targets that have all stopped.
-func (s *Status) judgeServices(t *todo) {
+// checkServices adds the services that cannot serve calls: no target takes work, or all
+// targets have stopped.
+func (s *Status) checkServices(t *operatorTasks) {
 	var without, stopped []string
 	for _, service := range s.Services {
 		switch {
-		case !service.takesWork() && !s.starting(service.Name):
+		case !service.hasReadyTarget() && !s.hasStartingMember(service.Name):
 			without = append(without, service.Name)
-		case service.stopped():
+		case service.allTargetsStopped():
 			stopped = append(stopped, service.Name)
 		}
 	}
 	if len(without) > 0 {
-		t.add("no target of "+Names(without)+" takes work", "start targets of "+Names(without))
+		t.add("no target of "+JoinNames(without)+" takes work", "start targets of "+JoinNames(without))
 	}
 	if len(stopped) > 0 {
-		t.add("all targets of "+Names(stopped)+" have stopped", "restart targets of "+Names(stopped))
+		t.add("all targets of "+JoinNames(stopped)+" have stopped", "restart targets of "+JoinNames(stopped))
 	}
 }
 
@@ -150,12 +153,12 @@
 	}
 	return Condition{
 		Type:    PlatformAnswers,
-		Message: fmt.Sprintf("the platform has been silent for %s; calls are served, no change is accepted", s.silence()),
+		Message: fmt.Sprintf("the platform has been silent for %s; calls are served, no change is accepted", s.platformSilence()),
 	}
 }
 
-// keysOwned tells what a lost host costs: its share of the fresh keys of its
-// service has no owner until its lease ends.
+// keysOwned reports the idempotency keys without a live owner. After the loss of a host,
+// its share of the fresh keys of its service has no owner until its lease ends.
 func (s *Status) keysOwned() Condition {
 	var lacking []string
 	for _, service := range s.Services {
@@ -166,7 +169,7 @@
 	if len(lacking) == 0 {
 		return Condition{Type: KeysOwned, Holds: true, Message: "every fresh key has a living owner"}
 	}
-	return Condition{Type: KeysOwned, Message: "keys without a living owner: " + Names(lacking)}
+	return Condition{Type: KeysOwned, Message: "keys without a living owner: " + JoinNames(lacking)}
 }
 
 func (s *Status) handedOver() Condition {
@@ -181,11 +184,11 @@
 	}
 	return Condition{
 		Type:    HandedOver,
-		Message: "handovers wait to be written into the plan at " + Names(waiting) + "; that ends once the platform answers",
+		Message: "handovers wait to be written into the plan at " + JoinNames(waiting) + "; that ends once the platform answers",
 	}
 }
 
-func (s *Status) targetsGoOn() Condition {
+func (s *Status) targetsRunning() Condition {
 	var stopped []string
 	for _, service := range s.Services {
 		for _, target := range service.Targets {
@@ -195,18 +198,20 @@
 		}
 	}
 	if len(stopped) == 0 {
-		return Condition{Type: TargetsGoOn, Holds: true, Message: "no target has stopped"}
+		return Condition{Type: TargetsRunning, Holds: true, Message: "no target has stopped"}
 	}
-	return Condition{Type: TargetsGoOn, Message: "stopped, so that others run what falls to them: " + Names(stopped)}
+	return Condition{Type: TargetsRunning, Message: "stopped, so that others run what falls to them: " + JoinNames(stopped)}
 }
 
-// silence is the age of the platform's silence, for people.
-func (s *Status) silence() time.Duration {
+// platformSilence returns the time since the platform last answered, rounded for
+// messages.
+func (s *Status) platformSilence() time.Duration {
 	return (time.Duration(s.PlatformSilentMS) * time.Millisecond).Round(time.Second)
 }
 
-// starting reports whether a member of the service is about to take work.
-func (s *Status) starting(service string) bool {
+// hasStartingMember reports whether a member of the service is starting and younger than
+// startGrace.
+func (s *Status) hasStartingMember(service string) bool {
 	for _, m := range s.Members {
 		young := m.AgeMS < startGrace.Milliseconds()
 		if m.Service == service && m.State == member.Starting.String() && young {
@@ -216,9 +221,9 @@
 	return false
 }
 
-// takesWork reports whether any target is ready. Ejected ones count: they are
-// probed and come back without a person.
-func (s Service) takesWork() bool {
+// hasReadyTarget reports whether any target is ready. Ejected targets count: probes bring
+// them back without an operator.
+func (s Service) hasReadyTarget() bool {
 	for _, target := range s.Targets {
 		if target.State == StateReady {
 			return true
@@ -227,9 +232,10 @@
 	return false
 }
 
-// stopped reports whether all targets that are ready have stopped for long. One
-// of several is not a person's business: the others run what falls to it.
-func (s Service) stopped() bool {
+// allTargetsStopped reports whether all ready targets have stopped for longer than
+// stopGrace. While one target still works, no operator is needed: it takes over the calls
+// of the stopped ones.
+func (s Service) allTargetsStopped() bool {
 	ready := 0
 	for _, target := range s.Targets {
 		if target.State != StateReady {
--- a/internal/admin/fuzz_test.go
+++ b/internal/admin/fuzz_test.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// fuzzRevision is in force before each request.
+	// fuzzRevision is the revision in force before each request.
 	fuzzRevision = 7
-	// fuzzAnswerBytes bounds an answer that is an error: a thousandth of a node's
-	// 64 MB, and of what a long document could otherwise fill.
+	// fuzzAnswerBytes bounds an error answer: a thousandth of a node's memory of 64 MB,
+	// and of the size that the problems of a long document could otherwise reach.
 	fuzzAnswerBytes = 64 << 10
 	goodDocument    = "resource: service\nname: orders\nslots: 115\nconnections: 800\n"
 )
 
 var (
 	fuzzMethods = []string{http.MethodGet, http.MethodPost, http.MethodDelete, http.MethodPut, http.MethodHead, http.MethodOptions, "BREW"}
-	// fuzzStatuses are those that the page for operators names. A node of which
-	// nothing fails gives no others.
+	// fuzzStatuses are the statuses in the operators' documentation. A node without
+	// internal faults gives no others.
 	fuzzStatuses = []int{
 		http.StatusOK, http.StatusBadRequest, http.StatusUnauthorized, http.StatusNotFound, http.StatusMethodNotAllowed,
 		http.StatusConflict, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity,
 	}
 )
 
-// FuzzRequests sends anything to the door of a node that nothing fails of. Each
-// request has a documented answer, and changes the revision by one or not at all.
+// FuzzRequests sends arbitrary requests to a node without internal faults. Each request
+// gets a documented answer and raises the revision by one or leaves it unchanged.
 func FuzzRequests(f *testing.F) {
 	addRequests(f)
-	l := &line{ready: true}
-	server := l.server()
+	node := &fakeNode{ready: true}
+	server := node.server()
 	server.Watch = func(context.Context, int64) (int64, *schema.Set, error) { return 0, nil, io.EOF }
 	handler := server.Handler()
 	f.Fuzz(func(t *testing.T, method uint8, path, query, token, body string) {
-		l.number, l.set = fuzzRevision, &schema.Set{Limits: schema.DefaultLimits()}
+		node.number, node.set = fuzzRevision, &schema.Set{Limits: schema.DefaultLimits()}
 		request := &http.Request{
 			Method: fuzzMethods[int(method)%len(fuzzMethods)],
 			URL:    &url.URL{Path: "/" + strings.TrimPrefix(path, "/"), RawQuery: query},
@@ -56,14 +56,14 @@
 		answer := httptest.NewRecorder()
 		handler.ServeHTTP(answer, request.WithContext(t.Context()))
 		checkAnswer(t, request, answer)
-		checkChange(t, l, request, answer, body)
+		checkChange(t, node, request, answer, body)
 		if request.URL.Path == "/v1/apply" && len(body) > maxDocumentBytes && answer.Code < http.StatusBadRequest {
 			t.Fatalf("status %d for a document of %d bytes", answer.Code, len(body))
 		}
 	})
 }
 
-// checkAnswer holds an answer against the page for operators.
+// checkAnswer compares an answer with the operators' documentation.
 func checkAnswer(t *testing.T, request *http.Request, answer *httptest.ResponseRecorder) {
 	if !slices.Contains(fuzzStatuses, answer.Code) {
 		t.Fatalf("status %d: %s", answer.Code, answer.Body)
@@ -76,7 +76,7 @@
 		return
 	}
 	var failure Failure
-	// What an error repeats of the address may grow sixfold in JSON.
+	// The part of the URL that an error quotes may grow sixfold when encoded as JSON.
 	repeated := 6 * (len(request.URL.Path) + len(request.URL.RawQuery))
 	if answer.Body.Len() > fuzzAnswerBytes+repeated {
 		t.Fatalf("%d bytes of errors", answer.Body.Len())
@@ -89,9 +89,9 @@
 	}
 }
 
-// checkChange looks that only an accepted change that is no dry run has made a
-// revision, and that this one can be applied again with nothing to change.
-func checkChange(t *testing.T, l *line, request *http.Request, answer *httptest.ResponseRecorder, body string) {
+// checkChange checks that only an accepted change that is not a dry run has made a
+// revision, and that applying the document of that revision again changes nothing.
+func checkChange(t *testing.T, node *fakeNode, request *http.Request, answer *httptest.ResponseRecorder, body string) {
 	var applied Applied
 	accepted := answer.Code == http.StatusOK && (request.Method == http.MethodPost || request.Method == http.MethodDelete) &&
 		request.URL.Path != "/v1/drain"
@@ -108,10 +108,10 @@
 	if accepted && applied.DryRun != dryRun {
 		t.Fatalf("dry run %v, answered %v", dryRun, applied.DryRun)
 	}
-	if l.number != want || (accepted && applied.Revision != want) {
-		t.Fatalf("revision %d, answered %d, want %d", l.number, applied.Revision, want)
+	if node.number != want || (accepted && applied.Revision != want) {
+		t.Fatalf("revision %d, answered %d, want %d", node.number, applied.Revision, want)
 	}
-	document := l.set.Document()
+	document := node.set.Document()
 	again, err := schema.Parse("again", document)
 	if err != nil {
 		t.Fatalf("what was accepted has errors: %v\n%s\nfrom\n%s", err, document, body)
@@ -121,7 +121,8 @@
 	}
 }
 
-// addRequests adds what an operator sends, and what goes wrong with it.
+// addRequests adds typical requests of operators and malformed variants of them to the
+// seed corpus.
 func addRequests(f *testing.F) {
 	const get, post, remove = 0, 1, 2
 	bearer := "Bearer " + testToken
--- a/internal/admin/history.go
+++ b/internal/admin/history.go
@@ -14,9 +14,9 @@
 
 // History is the answer to GET /v1/history.
 type History struct {
-	// Revision is the one in force at this node.
+	// Revision is the revision in force at this node.
 	Revision int64 `json:"revision"`
-	// Revisions holds those that are kept, the latest first.
+	// Revisions holds the kept revisions, the latest first.
 	Revisions []config.Entry `json:"revisions"`
 }
 
@@ -30,7 +30,7 @@
 	_ = ctx.JSON(History{Revision: number, Revisions: orEmpty(kept)})
 }
 
-// revision answers with a former revision as list does with the one in force.
+// revision serves a former revision in the same form as list serves the one in force.
 func (s *Server) revision(ctx iris.Context) {
 	text := ctx.Params().Get("number")
 	number, err := strconv.ParseInt(text, 10, 64)
@@ -51,8 +51,8 @@
 	})
 }
 
-// rollback makes the document of a kept revision the next one. The expected
-// revision has to be named: whoever goes back has seen what is in force.
+// rollback makes the document of a kept revision the next revision. The expected revision
+// is mandatory, to make sure that the operator has seen what is in force.
 func (s *Server) rollback(ctx iris.Context) {
 	number, ok := requiredRevision(ctx, "revision")
 	if !ok {
@@ -71,12 +71,13 @@
 		})
 		return
 	}
-	s.finish(ctx, change{name: "rollback", expected: expected, dryRun: dryRun, make: func(ctx context.Context) (Applied, error) {
+	s.runChange(ctx, change{name: "rollback", expected: expected, dryRun: dryRun, run: func(ctx context.Context) (Applied, error) {
 		return s.Rollback(ctx, number, expected, dryRun)
 	}})
 }
 
-// requiredRevision reads a revision number that has to be in the query.
+// requiredRevision reads a mandatory revision number from the query and answers the
+// request itself when the number is missing or invalid.
 func requiredRevision(ctx iris.Context, name string) (int64, bool) {
 	if ctx.URLParam(name) == "" {
 		fail(ctx, http.StatusBadRequest, Failure{Error: name + " must be given, as a revision number"})
@@ -86,14 +87,14 @@
 }
 
 func failLoad(ctx iris.Context, err error) {
-	if !failFormer(ctx, err) {
+	if !failUnavailableRevision(ctx, err) {
 		fail(ctx, http.StatusInternalServerError, Failure{Error: err.Error()})
 	}
 }
 
-// failFormer answers a request for a former revision that cannot be had. It
-// reports whether the error is of that kind.
-func failFormer(ctx iris.Context, err error) bool {
+// failUnavailableRevision answers a request for a former revision that is not available,
+// and reports whether the error is of that kind.
+func failUnavailableRevision(ctx iris.Context, err error) bool {
 	text := errorx.Cast(err)
 	switch {
 	case errorx.IsOfType(err, config.NotKept):
--- a/internal/admin/resource.go
+++ b/internal/admin/resource.go
@@ -18,22 +18,23 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// change is a request for another revision.
+// change is a request that makes a new revision.
 type change struct {
-	// name is apply or rollback.
+	// name is "apply" or "rollback".
 	name     string
 	expected int64
 	dryRun   bool
-	make     func(ctx context.Context) (Applied, error)
+	run      func(ctx context.Context) (Applied, error)
 }
 
 const (
-	// documentName stands for the file in the problems of a request body.
+	// documentName stands for the file name in the problems of a request body.
 	documentName = "document"
-	// maxProblemBytes bounds the problems of an answer: some 200 of them.
+	// maxProblemBytes bounds the problems of an answer to about 200 of them.
 	maxProblemBytes = 32 << 10
-	// maxPathLetters bounds the path of a problem, which has the document's own keys.
-	maxPathLetters = 200
+	// maxPathRunes bounds the path of a problem, which consists of the document's own
+	// keys and so may have any length.
+	maxPathRunes = 200
 )
 
 func (s *Server) apply(ctx iris.Context) {
@@ -67,8 +68,8 @@
 	s.commit(ctx, checked)
 }
 
-// commit hands a checked set to the node. A request that names no expected
-// revision expects the one in force here.
+// commit passes a validated set to the node. A request without an expected revision
+// expects the one in force at this node.
 func (s *Server) commit(ctx iris.Context, set *schema.Set) {
 	number, old, _ := s.current()
 	expected, dryRun, ok := commitParameters(ctx, number)
@@ -76,7 +77,7 @@
 		return
 	}
 	document := set.Document()
-	s.finish(ctx, change{name: "apply", expected: expected, dryRun: dryRun, make: func(ctx context.Context) (Applied, error) {
+	s.runChange(ctx, change{name: "apply", expected: expected, dryRun: dryRun, run: func(ctx context.Context) (Applied, error) {
 		applied, err := s.Apply(ctx, document, expected, dryRun)
 		if err != nil {
 			return applied, err
@@ -91,10 +92,10 @@
 	}})
 }
 
-// finish makes a change and answers with what came of it.
-func (s *Server) finish(ctx iris.Context, c change) {
+// runChange runs a change and answers with its result.
+func (s *Server) runChange(ctx iris.Context, c change) {
 	remote := ctx.Request().RemoteAddr
-	applied, err := c.make(ctx.Request().Context())
+	applied, err := c.run(ctx.Request().Context())
 	if err != nil {
 		s.Log.Warn("change_refused", "change", c.name, "remote", remote, "expected", c.expected, "error", err)
 		s.failCommit(ctx, err, c)
@@ -111,8 +112,8 @@
 	_ = ctx.JSON(applied)
 }
 
-// commitParameters reads the query of a change and answers the request itself
-// when it is wrong.
+// commitParameters reads the query of a change and answers the request itself when the
+// query is invalid.
 func commitParameters(ctx iris.Context, current int64) (expected int64, dryRun, ok bool) {
 	expected, ok = revisionParameter(ctx, "expected", current)
 	if !ok {
@@ -129,8 +130,8 @@
 	return expected, dryRun, true
 }
 
-// revisionParameter reads a revision number from the query and answers the
-// request itself when it is wrong.
+// revisionParameter reads a revision number from the query and answers the request itself
+// when the number is invalid.
 func revisionParameter(ctx iris.Context, name string, absent int64) (int64, bool) {
 	text := ctx.URLParam(name)
 	if text == "" {
@@ -169,7 +170,7 @@
 	fail(ctx, http.StatusNotFound, Failure{Error: "no " + resourceType + " of the name " + name})
 }
 
-// current returns the revision in force here, or number 0 with an empty set.
+// current returns the revision in force at this node, or number 0 with an empty set.
 func (s *Server) current() (int64, *schema.Set, []byte) {
 	number, set, document := s.Current()
 	if set == nil {
@@ -181,8 +182,8 @@
 	return number, set, document
 }
 
-// watch sends one JSON line for each revision above the one asked for. After a
-// broken connection the reader asks again with the last revision that it got.
+// watch sends one JSON line for each revision above the requested one. After a broken
+// connection the client repeats the request with the last revision that it received.
 func (s *Server) watch(ctx iris.Context) {
 	after, ok := revisionParameter(ctx, "after", 0)
 	if !ok {
@@ -209,8 +210,8 @@
 	}
 }
 
-// nextEvent waits for the next revision; a heartbeat without a set takes its
-// place when none comes in time.
+// nextEvent waits for the next revision, and returns a heartbeat without a set if none
+// arrives within the heartbeat interval.
 func (s *Server) nextEvent(ctx context.Context, after int64, before *schema.Set) (Event, *schema.Set, error) {
 	wait, cancel := context.WithTimeout(ctx, s.heartbeat())
 	defer cancel()
@@ -244,21 +245,21 @@
 func failInvalid(ctx iris.Context, message string, err error) {
 	var problems place.Problems
 	errors.As(err, &problems)
-	listed := bounded(problems)
+	listed := truncateProblems(problems)
 	if len(listed) < len(problems) {
 		message = fmt.Sprintf("%s; these are the first %d of %d", message, len(listed), len(problems))
 	}
 	fail(ctx, http.StatusUnprocessableEntity, Failure{Error: message, Problems: listed})
 }
 
-// bounded returns the first problems, with long paths cut short. A document of
-// 4 MiB may have a problem in every line, and more than fits into a node's memory
-// would be answered.
-func bounded(problems place.Problems) place.Problems {
+// truncateProblems returns the first problems, up to maxProblemBytes, and truncates long
+// paths. A document of 4 MiB may have a problem in every line, and the whole answer would
+// not fit into a node's memory.
+func truncateProblems(problems place.Problems) place.Problems {
 	var listed place.Problems
 	size := 0
 	for _, problem := range problems {
-		problem.Path = cut(problem.Path)
+		problem.Path = truncatePath(problem.Path)
 		encoded, _ := json.Marshal(problem)
 		size += len(encoded)
 		if size > maxProblemBytes {
@@ -269,12 +270,12 @@
 	return listed
 }
 
-func cut(text string) string {
+func truncatePath(text string) string {
 	letters := []rune(text)
-	if len(letters) <= maxPathLetters {
+	if len(letters) <= maxPathRunes {
 		return text
 	}
-	return string(letters[:maxPathLetters-1]) + "…"
+	return string(letters[:maxPathRunes-1]) + "…"
 }
 
 // failCommit answers a change that the node did not accept.
@@ -299,9 +300,9 @@
 	}
 }
 
-// failConflict passes on the message, which names both revisions. A current one
-// that equals the expected one is old news: the platform knows of a change that
-// this node has not learned yet.
+// failConflict answers with the error's message, which names both revisions. If current
+// equals expected, this node has not yet learned of the change that the platform
+// accepted, so Current is left out.
 func failConflict(ctx iris.Context, err error, expected, current int64) {
 	failure := Failure{Error: errorx.Cast(err).Message(), Expected: &expected}
 	if current != expected {
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -8,7 +8,7 @@
 )
 
 type (
-	// Status is what one node knows of itself and of the mesh.
+	// Status is the state of one node and its view of the mesh.
 	Status struct {
 		Node        string `json:"node"`
 		Incarnation string `json:"incarnation"`
@@ -16,27 +16,27 @@
 		Region      string `json:"region"`
 		Service     string `json:"service"`
 		State       string `json:"state"`
-		// Revision is the one in force at this node.
+		// Revision is the revision in force at this node.
 		Revision int64  `json:"revision"`
 		Digest   string `json:"digest"`
-		// RevisionAgeMS is the time since this node took the revision up.
+		// RevisionAgeMS is the time since the revision came into force at this node.
 		RevisionAgeMS int64 `json:"revision_age_ms"`
-		// Rollout is filled by Complete.
+		// Rollout is filled in by Complete.
 		Rollout           Rollout `json:"rollout"`
 		PlatformReachable bool    `json:"platform_reachable"`
 		// PlatformSilentMS is the time since the platform last answered.
 		PlatformSilentMS int64 `json:"platform_silent_ms"`
-		// Members holds all live members, this node among them.
+		// Members holds all live members, including this node.
 		Members []Member `json:"members"`
-		// Services holds every declared service, also those without targets.
+		// Services holds every declared service, including those without targets.
 		Services []Service `json:"services"`
 		Refusals []Count   `json:"refusals"`
 		Retries  []Count   `json:"retries"`
-		// Conditions is filled by Complete unless the node gives its own.
+		// Conditions is filled in by Complete unless the node provides its own.
 		Conditions []Condition `json:"conditions"`
 	}
 
-	// Member is one node as this one sees it.
+	// Member is one node as seen by the node that reports the status.
 	Member struct {
 		Name         string `json:"name"`
 		Incarnation  string `json:"incarnation"`
@@ -47,17 +47,17 @@
 		AdminAddress string `json:"admin_address"`
 		// AgeMS is the time since the member's incarnation started.
 		AgeMS int64 `json:"age_ms"`
-		// PendingHandovers counts the nodes whose records it has taken over,
-		// and which the plan still names as owners.
+		// PendingHandovers counts the nodes whose records this member has taken over, but
+		// which the plan still names as owners.
 		PendingHandovers int `json:"pending_handovers"`
 	}
 
-	// Rollout tells how far the highest known revision has come.
+	// Rollout is the progress of the highest known revision.
 	Rollout struct {
 		Revision int64 `json:"revision"`
 		Members  int   `json:"members"`
 		InForce  int   `json:"in_force"`
-		// Lagging names the members that have only a lower one.
+		// Lagging names the members at which only a lower revision is in force.
 		Lagging []string `json:"lagging"`
 	}
 
@@ -65,40 +65,42 @@
 	Service struct {
 		Name    string   `json:"name"`
 		Targets []Target `json:"targets"`
-		// Unowned is nil while every fresh idempotency key has a living owner.
+		// Unowned is nil while every fresh idempotency key has a live owner.
 		Unowned *Unowned `json:"unowned"`
 	}
 
-	// Unowned is the part of a service's fresh idempotency keys that has no
-	// living owner. Calls with these keys are refused.
+	// Unowned is the part of a service's fresh idempotency keys that has no live owner.
+	// Calls with these keys are refused.
 	Unowned struct {
-		// Slots of Of have no living owner; each is the same share of the keys.
+		// Slots out of Of have no live owner; each slot is the same share of the keys.
 		Slots int `json:"slots"`
 		Of    int `json:"of"`
-		// Until is when the last of them falls free, as RFC 3339 in UTC. It is
-		// empty where they are free, and wait for a node to claim them.
+		// Until is when the last of these slots becomes free, as RFC 3339 in UTC. It is
+		// empty if they are free already and wait for a node to claim them.
 		Until string `json:"until"`
-		// Lost names the nodes that hold them.
+		// Lost names the nodes that hold the slots.
 		Lost []string `json:"lost"`
 	}
 
-	// Target is one target, named by the node beside it.
+	// Target is one target, identified by the node beside it.
 	Target struct {
 		Node string `json:"node"`
-		// State is the state of the node beside it; StateReady takes work.
+		// State is the state of the node beside the target; the target takes work in
+		// StateReady.
 		State    string `json:"state"`
 		InFlight int    `json:"in_flight"`
 		Limit    int    `json:"limit"`
 		Queued   int    `json:"queued"`
-		// Floor is the admission level: calls of a lower order are refused.
+		// Floor is the admission level: calls of a lower level are refused.
 		Floor uint32 `json:"floor"`
-		// Ejected is whether the asked node sends it no calls for now.
+		// Ejected is whether the node that reports the status sends the target no calls
+		// for now.
 		Ejected bool `json:"ejected"`
-		// StoppedMS is the time since it stopped working; 0 while it works.
+		// StoppedMS is the time since the target stopped working; 0 while it works.
 		StoppedMS int64 `json:"stopped_ms"`
 	}
 
-	// Count is a counter with its reason.
+	// Count is the number of events with one reason.
 	Count struct {
 		Reason string `json:"reason"`
 		Count  int64  `json:"count"`
@@ -112,11 +114,11 @@
 	StateSilent = "silent"
 )
 
-// Complete fills what follows from the rest of the status. Lists that the node
-// left out become empty ones, so that readers of the JSON meet no null.
+// Complete fills in the fields that are derived from the others. It replaces nil lists by
+// empty ones, so that the JSON contains no null for them.
 func (s *Status) Complete() {
 	s.Members = orEmpty(s.Members)
-	// The node may keep its list: the entries are changed in a copy.
+	// The node may reuse its list, so the entries are changed in a copy.
 	s.Services = append([]Service{}, s.Services...)
 	for i := range s.Services {
 		s.Services[i].Targets = orEmpty(s.Services[i].Targets)
@@ -125,7 +127,7 @@
 	s.Retries = orEmpty(s.Retries)
 	s.Rollout = s.rollout()
 	if s.Conditions == nil {
-		s.Conditions = s.judge()
+		s.Conditions = s.computeConditions()
 	}
 }
 
@@ -141,7 +143,8 @@
 	return lagging
 }
 
-// Silent names the nodes beside targets that did not answer the asked node.
+// Silent names the nodes beside targets that did not answer the node that reports the
+// status.
 func (s *Status) Silent() []string {
 	var silent []string
 	for _, service := range s.Services {
@@ -173,12 +176,12 @@
 	return m.State == member.Active.String() || m.State == member.Cold.String()
 }
 
-// Percent is the share of the keys without an owner, rounded up.
+// Percent returns the share of the keys without an owner, rounded up.
 func (u *Unowned) Percent() int {
 	return (100*u.Slots + u.Of - 1) / u.Of
 }
 
-// String says what is lost and until when, on a part of a line.
+// String returns the lost share and its end, to be used as part of a line.
 func (u *Unowned) String() string {
 	if u.Until == "" {
 		return fmt.Sprintf("%d%% until a node claims them", u.Percent())
