--- a/internal/plat/client.go
+++ b/internal/plat/client.go
@@ -22,9 +22,9 @@
 	"github.com/dandelionfield/dandelionfield/internal/clock"
 )
 
-// The defaults of Limits. The platform takes about 2000 reads and several
-// hundred writes a second in all; 530 nodes at 3 reads and 0.5 writes a second
-// stay below 1590 and 265 even if every node uses its whole share at once.
+// The defaults of Limits. The platform serves about 2000 reads and several hundred writes
+// a second in total; 530 nodes at 3 reads and 0.5 writes a second stay within 1590 and
+// 265 even if every node uses its whole share at once.
 const (
 	defaultReadsPerSecond  = 3.0
 	defaultWritesPerSecond = 0.5
@@ -38,8 +38,8 @@
 )
 
 type (
-	// Limits bounds what one process asks of the platform. A zero field takes
-	// the default.
+	// Limits bounds the requests of one process to the platform. A zero field means the
+	// default.
 	Limits struct {
 		ReadsPerSecond  float64
 		WritesPerSecond float64
@@ -47,11 +47,11 @@
 		WriteBurst      int
 		// Timeout bounds one request.
 		Timeout time.Duration
-		// After a failure the next request waits for a random part of a time
-		// that doubles from BackoffMin to BackoffMax.
+		// After a failure the next request is delayed by a random part of the backoff,
+		// which doubles from BackoffMin to BackoffMax.
 		BackoffMin time.Duration
 		BackoffMax time.Duration
-		// Clock and Random are seams; nil takes the host's.
+		// Clock and Random can be replaced in tests; nil means the host's.
 		Clock  clock.Clock
 		Random func() float64
 	}
@@ -60,10 +60,10 @@
 		address string
 		limits  Limits
 		http    *http.Client
-		// turn holds one token: one request is in flight per process.
-		turn   chan struct{}
-		reads  *rate.Limiter
-		writes *rate.Limiter
+		// inFlight holds one token: each process has one request in flight at a time.
+		inFlight chan struct{}
+		reads    *rate.Limiter
+		writes   *rate.Limiter
 
 		mu        sync.Mutex
 		failures  int
@@ -78,21 +78,21 @@
 	}
 )
 
-// NewClient returns a Store that speaks HTTP and JSON with the platform at
-// address (host:port or URL). A request that the limits or the backoff would
-// hold back past its context's deadline fails at once as Unavailable.
+// NewClient returns a Store that speaks HTTP and JSON with the platform at address
+// (host:port or URL). A request that the rate limit or the backoff would delay past its
+// context's deadline fails at once as Unavailable.
 func NewClient(address string, limits Limits) Store {
 	if !strings.Contains(address, "://") {
 		address = "http://" + address
 	}
 	limits = limits.withDefaults()
 	c := &client{
-		address: strings.TrimSuffix(address, "/"),
-		limits:  limits,
-		http:    &http.Client{Transport: transport(limits.Timeout)},
-		turn:    make(chan struct{}, 1),
-		reads:   rate.NewLimiter(rate.Limit(limits.ReadsPerSecond), limits.ReadBurst),
-		writes:  rate.NewLimiter(rate.Limit(limits.WritesPerSecond), limits.WriteBurst),
+		address:  strings.TrimSuffix(address, "/"),
+		limits:   limits,
+		http:     &http.Client{Transport: transport(limits.Timeout)},
+		inFlight: make(chan struct{}, 1),
+		reads:    rate.NewLimiter(rate.Limit(limits.ReadsPerSecond), limits.ReadBurst),
+		writes:   rate.NewLimiter(rate.Limit(limits.WritesPerSecond), limits.WriteBurst),
 	}
 	return Store{
 		Get:          c.get,
@@ -206,23 +206,24 @@
 	return nil
 }
 
-// do waits for its turn, the backoff and the rate limit, and sends the request.
+// do waits for the previous request, the backoff and the rate limit, and sends the
+// request.
 func (c *client) do(ctx context.Context, r request) ([]byte, error) {
 	select {
-	case c.turn <- struct{}{}:
+	case c.inFlight <- struct{}{}:
 	case <-ctx.Done():
-		return nil, Unavailable.Wrap(ctx.Err(), "another request to the platform took too long")
+		return nil, Unavailable.Wrap(ctx.Err(), "the previous request to the platform did not end in time")
 	}
-	defer func() { <-c.turn }()
-	if err := c.hold(ctx, r.write); err != nil {
+	defer func() { <-c.inFlight }()
+	if err := c.waitForPermit(ctx, r.write); err != nil {
 		return nil, err
 	}
 	body, status, err := c.send(ctx, r)
 	if err == nil && status >= http.StatusInternalServerError {
 		err = fmt.Errorf("status %d: %s", status, bytes.TrimSpace(body))
 	}
-	if !errors.Is(ctx.Err(), context.Canceled) { // a caller that gave up says nothing of the platform
-		c.settle(err)
+	if !errors.Is(ctx.Err(), context.Canceled) { // a cancelled request says nothing about the platform
+		c.updateBackoff(err)
 	}
 	if err != nil {
 		return nil, Unavailable.Wrap(err, "%s %s", r.method, r.path)
@@ -238,8 +239,8 @@
 	return nil, Unavailable.New("%s %s: status %d: %s", r.method, r.path, status, bytes.TrimSpace(body))
 }
 
-// hold waits for the later of the backoff's end and the rate limit's leave.
-func (c *client) hold(ctx context.Context, write bool) error {
+// waitForPermit waits until both the backoff and the rate limit allow a request.
+func (c *client) waitForPermit(ctx context.Context, write bool) error {
 	limiter := c.reads
 	if write {
 		limiter = c.writes
@@ -254,14 +255,14 @@
 	}
 	if deadline, ok := ctx.Deadline(); ok && deadline.Sub(now) < wait {
 		reservation.CancelAt(now)
-		return Unavailable.New("the platform is not asked again for %v", wait.Round(time.Millisecond))
+		return Unavailable.New("the next request to the platform is delayed for %v", wait.Round(time.Millisecond))
 	}
 	select {
 	case <-c.limits.Clock.After(wait):
 		return nil
 	case <-ctx.Done():
 		reservation.CancelAt(c.limits.Clock.Now())
-		return Unavailable.Wrap(ctx.Err(), "given up before the platform was asked")
+		return Unavailable.Wrap(ctx.Err(), "cancelled before the request to the platform was sent")
 	}
 }
 
@@ -272,7 +273,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	// Without GetBody the transport cannot repeat the request by itself.
+	// Without GetBody the transport cannot retry the request by itself.
 	req.GetBody = nil
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -283,9 +284,10 @@
 	return body, resp.StatusCode, err
 }
 
-// settle sets the backoff after a request. With full jitter, 530 nodes that
-// have backed off to 10 s return to a store as about 100 requests a second.
-func (c *client) settle(err error) {
+// updateBackoff sets the backoff from the result of a request. Full jitter spreads the
+// requests of 530 nodes that have backed off to 10 s to about 100 a second when the
+// platform returns.
+func (c *client) updateBackoff(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil {
--- a/internal/plat/memory.go
+++ b/internal/plat/memory.go
@@ -12,25 +12,26 @@
 	"github.com/dandelionfield/dandelionfield/internal/clock"
 )
 
-// rememberedWrites is how many write ids Memory recognises. A platform forgets
-// at some time, and so does the stand-in.
-const rememberedWrites = 65536
+// maxRememberedWrites is how many write ids Memory recognises. A real platform also
+// forgets them after some time.
+const maxRememberedWrites = 65536
 
 type (
-	// Faults says how a Memory misbehaves.
+	// Faults are the faults that a Memory simulates.
 	Faults struct {
-		// Down makes every operation fail without an effect.
+		// Down makes every operation fail without taking effect.
 		Down bool
-		// Delay holds back every operation.
+		// Delay is added to every operation.
 		Delay time.Duration
-		// LoseAnswers is the share of writes, 0 to 1, that take effect while
-		// their writer is told Unavailable.
+		// LoseAnswers is the share of writes, 0 to 1, that take effect although the
+		// caller gets Unavailable.
 		LoseAnswers float64
-		// Random draws from [0, 1); nil takes math/rand/v2.
+		// Random returns a random number in [0, 1); nil means math/rand/v2.
 		Random func() float64
 	}
 
-	// Stats counts the operations that reached a Memory, and what it holds.
+	// Stats holds the number of operations that reached a Memory, and the size of its
+	// objects.
 	Stats struct {
 		Reads       int64 `json:"reads"`
 		Writes      int64 `json:"writes"`
@@ -38,20 +39,20 @@
 		ObjectBytes int64 `json:"object_bytes"`
 	}
 
-	// Memory is a platform in memory: a table service and an object store
-	// with faults that can be switched. It is safe for concurrent use.
+	// Memory is an in-memory platform for tests: a table service and an object store with
+	// configurable faults. It is safe for concurrent use.
 	Memory struct {
 		// Clock times Faults.Delay.
 		Clock clock.Clock
 
-		mu      sync.Mutex
-		faults  Faults
-		stats   Stats
-		version int64
-		tables  map[string]map[string]Row
-		objects map[string][]byte
-		writes  map[string]int64
-		order   []string
+		mu         sync.Mutex
+		faults     Faults
+		stats      Stats
+		version    int64
+		tables     map[string]map[string]Row
+		objects    map[string][]byte
+		writes     map[string]int64
+		writeOrder []string
 	}
 )
 
@@ -65,7 +66,7 @@
 	}
 }
 
-// Store returns the door to the platform.
+// Store returns a Store that operates on this platform.
 func (m *Memory) Store() Store {
 	return Store{
 		Get:          m.get,
@@ -78,7 +79,7 @@
 	}
 }
 
-// SetFaults replaces the faults from now on.
+// SetFaults replaces the faults for the operations that follow.
 func (m *Memory) SetFaults(faults Faults) {
 	if faults.Random == nil {
 		faults.Random = rand.Float64
@@ -88,7 +89,8 @@
 	m.faults = faults
 }
 
-// Stats returns how many reads and writes have arrived, and the objects held.
+// Stats returns the number of reads and writes so far, and the number and size of the
+// objects.
 func (m *Memory) Stats() Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,7 +103,7 @@
 }
 
 func (m *Memory) get(ctx context.Context, table, key string) (Row, error) {
-	if err := m.enter(ctx, true); err != nil {
+	if err := m.begin(ctx, true); err != nil {
 		return Row{}, err
 	}
 	defer m.mu.Unlock()
@@ -113,7 +115,7 @@
 }
 
 func (m *Memory) list(ctx context.Context, table string, since int64) ([]Row, int64, error) {
-	if err := m.enter(ctx, true); err != nil {
+	if err := m.begin(ctx, true); err != nil {
 		return nil, 0, err
 	}
 	defer m.mu.Unlock()
@@ -128,7 +130,7 @@
 }
 
 func (m *Memory) commit(ctx context.Context, write Write) (int64, error) {
-	if err := m.enter(ctx, false); err != nil {
+	if err := m.begin(ctx, false); err != nil {
 		return 0, err
 	}
 	defer m.mu.Unlock()
@@ -139,26 +141,26 @@
 		}
 		version = m.apply(write)
 	}
-	if m.losesAnswer() {
+	if m.loseResponse() {
 		return 0, Unavailable.New("the answer of write %s was lost", write.ID)
 	}
 	return version, nil
 }
 
 func (m *Memory) putObject(ctx context.Context, name string, data []byte) error {
-	if err := m.enter(ctx, false); err != nil {
+	if err := m.begin(ctx, false); err != nil {
 		return err
 	}
 	defer m.mu.Unlock()
 	m.objects[name] = slices.Clone(data)
-	if m.losesAnswer() {
+	if m.loseResponse() {
 		return Unavailable.New("the answer of putting object %s was lost", name)
 	}
 	return nil
 }
 
 func (m *Memory) getObject(ctx context.Context, name string) ([]byte, error) {
-	if err := m.enter(ctx, true); err != nil {
+	if err := m.begin(ctx, true); err != nil {
 		return nil, err
 	}
 	defer m.mu.Unlock()
@@ -170,19 +172,19 @@
 }
 
 func (m *Memory) deleteObject(ctx context.Context, name string) error {
-	if err := m.enter(ctx, false); err != nil {
+	if err := m.begin(ctx, false); err != nil {
 		return err
 	}
 	defer m.mu.Unlock()
 	delete(m.objects, name)
-	if m.losesAnswer() {
+	if m.loseResponse() {
 		return Unavailable.New("the answer of deleting object %s was lost", name)
 	}
 	return nil
 }
 
 func (m *Memory) listObjects(ctx context.Context, prefix string, limit int) ([]string, error) {
-	if err := m.enter(ctx, true); err != nil {
+	if err := m.begin(ctx, true); err != nil {
 		return nil, err
 	}
 	defer m.mu.Unlock()
@@ -196,9 +198,8 @@
 	return names[:min(len(names), limit)], nil
 }
 
-// enter counts and delays an operation, and returns with the lock held unless
-// it returns an error.
-func (m *Memory) enter(ctx context.Context, read bool) error {
+// begin delays and counts an operation. On success it returns with the lock held.
+func (m *Memory) begin(ctx context.Context, read bool) error {
 	m.mu.Lock()
 	delay := m.faults.Delay
 	m.mu.Unlock()
@@ -258,14 +259,14 @@
 
 func (m *Memory) remember(id string) {
 	m.writes[id] = m.version
-	m.order = append(m.order, id)
-	if len(m.order) > rememberedWrites {
-		delete(m.writes, m.order[0])
-		m.order = m.order[1:]
+	m.writeOrder = append(m.writeOrder, id)
+	if len(m.writeOrder) > maxRememberedWrites {
+		delete(m.writes, m.writeOrder[0])
+		m.writeOrder = m.writeOrder[1:]
 	}
 }
 
-func (m *Memory) losesAnswer() bool {
+func (m *Memory) loseResponse() bool {
 	return m.faults.LoseAnswers > 0 && m.faults.Random() < m.faults.LoseAnswers
 }
 
--- a/internal/plat/plat.go
+++ b/internal/plat/plat.go
@@ -1,5 +1,4 @@
-// Package plat is the door to the platform: its transactional table and its
-// object store.
+// Package plat accesses the platform: its transactional table and its object store.
 package plat
 
 import (
@@ -12,7 +11,8 @@
 type Row struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
-	// Version rises with every write to the platform; 0 means no such row.
+	// Version increases with every write to the platform; 0 means that the row does not
+	// exist.
 	Version int64 `json:"version"`
 	// WriteID is the id of the write that made this version.
 	WriteID string `json:"write_id"`
@@ -29,30 +29,30 @@
 // Write is a transaction: all of its changes take effect, or none does.
 type Write struct {
 	Table string `json:"table"`
-	// ID names the write, so that one whose answer was lost can be recognised.
+	// ID identifies the write, so that a write whose answer was lost can be recognised.
 	ID      string   `json:"id"`
 	Changes []Change `json:"changes"`
 }
 
-// Store is the platform as the project uses it. The functions are seams:
-// Client fills them for a platform over HTTP, Memory for tests.
+// Store holds the operations of the platform that this project uses. Its functions can be
+// replaced one by one: NewClient fills them in for a platform over HTTP, Memory for
+// tests.
 type Store struct {
-	// Get returns the row, with version 0 when there is none.
+	// Get returns the row, with version 0 if it does not exist.
 	Get func(ctx context.Context, table, key string) (Row, error)
-	// List returns the rows with a version above since, deleted ones with an
-	// empty value, and the version up to which the listing is complete.
+	// List returns the rows with a version above since, deleted ones with an empty value,
+	// and the version up to which the list is complete.
 	List func(ctx context.Context, table string, since int64) ([]Row, int64, error)
-	// Commit applies the write and returns the version it made. It returns
-	// Conflict when a row has another version than expected. Any other error
-	// leaves open whether the write took effect.
+	// Commit applies the write and returns the version that it made. It returns Conflict
+	// if a row has another version than expected. After any other error the write may or
+	// may not have taken effect.
 	Commit    func(ctx context.Context, write Write) (int64, error)
 	PutObject func(ctx context.Context, name string, data []byte) error
 	GetObject func(ctx context.Context, name string) ([]byte, error)
-	// DeleteObject makes an object absent. One that is absent already counts as
-	// deleted, so a delete whose answer was lost may be sent again.
+	// DeleteObject deletes an object. It also succeeds if the object does not exist, so a
+	// delete whose answer was lost may be repeated.
 	DeleteObject func(ctx context.Context, name string) error
-	// ListObjects returns the first names with the prefix in the order of their
-	// bytes, limit at most.
+	// ListObjects returns at most limit names with the prefix, in byte order.
 	ListObjects func(ctx context.Context, prefix string, limit int) ([]string, error)
 }
 
@@ -60,13 +60,13 @@
 	namespace = errorx.NewNamespace("platform")
 	// Conflict means that a row had another version than the write expected.
 	Conflict = namespace.NewType("conflict")
-	// Unavailable means that the platform gave no answer that can be used.
+	// Unavailable means that the platform gave no usable answer.
 	Unavailable = namespace.NewType("unavailable")
-	// NotFound means that there is no such object.
+	// NotFound means that the object does not exist.
 	NotFound = namespace.NewType("not_found")
 )
 
-// IsUnavailable says whether an error means that the platform did not answer.
+// IsUnavailable reports whether an error means that the platform did not answer.
 func IsUnavailable(err error) bool {
 	return errorx.IsOfType(err, Unavailable) || errorx.IsOfType(err, Unresolved)
 }
--- a/internal/plat/plat_test.go
+++ b/internal/plat/plat_test.go
@@ -24,7 +24,7 @@
 	is.NoErr(err)
 	again, err := store.Commit(ctx, set("w1", "one", 0))
 	is.NoErr(err)
-	is.Equal(again, first) // a repeated id answers its first version
+	is.Equal(again, first) // a repeated id returns the version of the first write
 	_, err = store.Commit(ctx, set("w2", "two", 0))
 	is.True(errorx.IsOfType(err, plat.Conflict))
 
@@ -57,11 +57,12 @@
 	is.Equal(len(rows), 0)
 }
 
-// lossy passes writes on, and loses the answer or the request as drawn.
-func lossy(store plat.Store, fate func() string) plat.Store {
+// lossy passes writes on to the store, or loses the request or the answer as outcome
+// returns.
+func lossy(store plat.Store, outcome func() string) plat.Store {
 	commit := store.Commit
 	store.Commit = func(ctx context.Context, write plat.Write) (int64, error) {
-		switch fate() {
+		switch outcome() {
 		case "request":
 			return 0, plat.Unavailable.New("request lost")
 		case "answer":
@@ -73,8 +74,8 @@
 	return store
 }
 
-// TestResolvedTellsTheTruth compares what a writer was told with what the
-// platform did, for random loss and another writer in between.
+// TestResolvedTellsTheTruth compares the result that a writer gets with what the platform
+// did, under random loss and with a second writer in between.
 func TestResolvedTellsTheTruth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -95,8 +96,8 @@
 			}
 			return version, err
 		}
-		fates := rapid.SampledFrom([]string{"ok", "request", "answer"})
-		store := plat.Resolved(lossy(watched, func() string { return fates.Draw(t, "fate") }))
+		outcomes := rapid.SampledFrom([]string{"ok", "request", "answer"})
+		store := plat.Resolved(lossy(watched, func() string { return outcomes.Draw(t, "fate") }))
 		_, err := store.Commit(ctx, set("mine", "mine", 0))
 		switch {
 		case err == nil:
@@ -109,16 +110,17 @@
 	})
 }
 
-// TestResolvedAdmitsWhatCannotBeKnown: the answer is lost, another write takes
-// the row, and the platform no longer remembers the first write's id.
+// TestResolvedAdmitsWhatCannotBeKnown: the answer is lost, another write replaces the
+// row, and the platform no longer remembers the id of the first write. The result must be
+// Unresolved.
 func TestResolvedAdmitsWhatCannotBeKnown(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	inner := plat.NewMemory().Store()
 	commit := inner.Commit
 	calls := 0
-	forgetful := inner
-	forgetful.Commit = func(ctx context.Context, write plat.Write) (int64, error) {
+	lossyStore := inner
+	lossyStore.Commit = func(ctx context.Context, write plat.Write) (int64, error) {
 		calls++
 		if calls == 1 {
 			version, err := commit(ctx, write)
@@ -129,12 +131,13 @@
 		}
 		return 0, plat.Conflict.New("the id is forgotten")
 	}
-	_, err := plat.Resolved(forgetful).Commit(ctx, set("mine", "mine", 0))
+	_, err := plat.Resolved(lossyStore).Commit(ctx, set("mine", "mine", 0))
 	is.True(errorx.IsOfType(err, plat.Unresolved))
 }
 
-// TestBackoffSpreadsReturningNodes: 530 nodes have failed until their backoff
-// is longest; in no second after the store returns do all come together.
+// TestBackoffSpreadsReturningNodes: 530 nodes have failed until their backoff is longest.
+// When the platform returns, the requests in any one second stay below its capacity for
+// writes.
 func TestBackoffSpreadsReturningNodes(t *testing.T) {
 	is := is.New(t)
 	const (
@@ -164,7 +167,7 @@
 	}
 }
 
-// jumpClock moves to the end of every wait.
+// jumpClock advances at once to the end of every wait.
 type jumpClock struct{ now time.Time }
 
 func (c *jumpClock) Now() time.Time { return c.now }
--- a/internal/plat/resolve.go
+++ b/internal/plat/resolve.go
@@ -6,36 +6,36 @@
 	"github.com/joomcode/errorx"
 )
 
-// resolveAttempts is how often a write whose answer was lost is looked for and
-// sent again before its fate is left open.
+// resolveAttempts is how often a write whose answer was lost is sent, and its row read
+// back, before the outcome is reported as Unresolved.
 const resolveAttempts = 4
 
-// Unresolved means that a write may or may not have taken effect: its answer
-// was lost, and the row that would tell is out of reach or holds a later write.
+// Unresolved means that a write may or may not have taken effect: its answer was lost,
+// and the row that would show its id cannot be read or holds a later write.
 var Unresolved = namespace.NewType("unresolved")
 
-// Resolved returns the store with a Commit that finds out what became of a
-// write whose answer was lost. It returns one of
+// Resolved returns the store with a Commit that determines the outcome of a write whose
+// answer was lost. This Commit returns one of
 //
 //   - the version: the write took effect, at this version;
-//   - Conflict: it did not, and cannot any more, since the rows have moved on;
-//   - Unresolved: its fate could not be learned. The same write, with the same
+//   - Conflict: the write did not take effect and never will, since the rows have changed;
+//   - Unresolved: the outcome could not be determined. The same write, with the same
 //     id, may be sent again later without taking effect twice.
 //
-// Example: write w expects version 7 and its answer is lost. If the row now
-// carries w's id, the write took effect. If the row still has version 7, w is
-// sent again; should the first copy arrive late after all, one of the two
-// finds the row at another version and is refused. If the row has version 9
-// of another writer, that writer may have read 7 (w never took effect) or 8
-// (w did, and was overwritten). The row alone cannot tell. w is sent once more,
-// since a platform that still remembers its id answers 8; a Conflict then
-// proves nothing, because the platform may have forgotten, and the answer is
-// Unresolved. Rows that name their predecessors settle it, see internal/config.
+// Example: write w expects version 7 and its answer is lost. If the row now carries w's
+// id, the write took effect. If the row still has version 7, w is sent again; if the
+// first copy arrives late after all, one of the two finds the row at another version and
+// is rejected. If the row has version 9 of another writer, that writer may have read
+// version 7 (w never took effect) or version 8 (w took effect and was overwritten). The
+// row alone cannot tell which. So w is sent once more, since a platform that still
+// remembers its id answers 8; a Conflict then proves nothing, because the platform may
+// have forgotten the id, and the result is Unresolved. Rows that list their predecessors
+// resolve this case; see internal/config.
 func Resolved(store Store) Store {
 	commit := store.Commit
 	store.Commit = func(ctx context.Context, write Write) (int64, error) {
 		if len(write.Changes) == 0 {
-			return commit(ctx, write) // no row would tell of it
+			return commit(ctx, write) // there is no row to read back
 		}
 		return resolve(ctx, store.Get, commit, write)
 	}
@@ -48,7 +48,7 @@
 	commit func(ctx context.Context, write Write) (int64, error),
 	write Write,
 ) (int64, error) {
-	lost := false // whether an earlier copy may have taken effect
+	mayBeApplied := false // whether an earlier copy may have taken effect
 	var last error
 	for range resolveAttempts {
 		version, err := commit(ctx, write)
@@ -61,12 +61,12 @@
 		switch {
 		case readErr == nil && row.Version != 0 && row.WriteID == write.ID:
 			return row.Version, nil
-		case conflict && !lost:
+		case conflict && !mayBeApplied:
 			return 0, err
 		case conflict && readErr == nil:
 			return 0, Unresolved.Wrap(err, "write %s was sent before without an answer, and another write holds the row now", write.ID)
 		}
-		lost = true
+		mayBeApplied = true
 		if ctx.Err() != nil {
 			break
 		}
