--- a/internal/plat/client.go
+++ b/internal/plat/client.go
@@ -212,7 +212,7 @@
 	select {
 	case c.inFlight <- struct{}{}:
 	case <-ctx.Done():
-		return nil, Unavailable.Wrap(ctx.Err(), "the previous request to the platform did not end in time")
+		return nil, Unavailable.Wrap(ctx.Err(), "another request to the platform took too long")
 	}
 	defer func() { <-c.inFlight }()
 	if err := c.waitForPermit(ctx, r.write); err != nil {
@@ -255,14 +255,14 @@
 	}
 	if deadline, ok := ctx.Deadline(); ok && deadline.Sub(now) < wait {
 		reservation.CancelAt(now)
-		return Unavailable.New("the next request to the platform is delayed for %v", wait.Round(time.Millisecond))
+		return Unavailable.New("the platform is not asked again for %v", wait.Round(time.Millisecond))
 	}
 	select {
 	case <-c.limits.Clock.After(wait):
 		return nil
 	case <-ctx.Done():
 		reservation.CancelAt(c.limits.Clock.Now())
-		return Unavailable.Wrap(ctx.Err(), "cancelled before the request to the platform was sent")
+		return Unavailable.Wrap(ctx.Err(), "given up before the platform was asked")
 	}
 }
 
