--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -9,27 +9,28 @@
 )
 
 type (
-	// Client is this side of one connection. It is safe for concurrent use.
+	// Client is the calling side of one connection. It is safe for concurrent use.
 	Client struct {
 		conn    *conn
 		address string
 		stop    context.CancelFunc
 
-		mu      sync.Mutex
-		last    uint32
-		pending map[uint32]*pending
-		// used is when the last call ended or began, and busySince when one began while
-		// no other waited.
-		used      time.Time
+		mu         sync.Mutex
+		lastNumber uint32
+		pending    map[uint32]*pending
+		// lastUsed is when a call last started or ended. busySince is when a call last
+		// started while no other was in flight.
+		lastUsed  time.Time
 		busySince time.Time
-		// left is set once the other side has said that it takes no further call.
-		left bool
-		// pinged is when the other side was pinged that has not been heard since. Only
-		// the watch of the pool uses it.
-		pinged time.Time
+		// goingAway is set once the peer has sent a goAwayFrame.
+		goingAway bool
+		// pingSentAt is when the unanswered ping was sent, zero if there is none. Only
+		// the goroutine that monitors the pool uses it.
+		pingSentAt time.Time
 	}
 
-	// pending is a call that waits for its answer.
+	// pending is a call that awaits its response. answer and err are set before done is
+	// closed.
 	pending struct {
 		done   chan struct{}
 		answer *relaypb.CarryResponse
@@ -37,15 +38,15 @@
 	}
 )
 
-// Dial opens a connection by a function and greets the other side. An error of the
-// function is returned as it is.
-func Dial(ctx context.Context, open Opener, address string) (*Client, error) {
-	raw, err := open(ctx, "tcp", address)
+// Dial opens a connection with the given function and performs the handshake. An error of
+// the function is returned unchanged.
+func Dial(ctx context.Context, dial DialFunc, address string) (*Client, error) {
+	raw, err := dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	c := &Client{conn: newConn(raw), address: address, pending: map[uint32]*pending{}, used: time.Now()}
-	if err := c.conn.greet(); err != nil {
+	c := &Client{conn: newConn(raw), address: address, pending: map[uint32]*pending{}, lastUsed: time.Now()}
+	if err := c.conn.handshake(); err != nil {
 		_ = raw.Close()
 		return nil, err
 	}
@@ -56,24 +57,24 @@
 	return c, nil
 }
 
-// Carry sends a call and waits for its answer. When the context ends first, the
-// other side is told that nobody waits any more.
+// Carry sends a call and waits for its response. When the context ends first, the peer is
+// told to cancel the call.
 func (c *Client) Carry(ctx context.Context, request *relaypb.CarryRequest) (*relaypb.CarryResponse, error) {
 	number, p := c.register()
 	if p == nil {
-		return nil, ErrNeverTaken
+		return nil, ErrNotAccepted
 	}
 	if err := c.conn.send(callFrame, number, request); err != nil {
-		c.forget(number)
-		return nil, neverTaken(err)
+		c.removePending(number)
+		return nil, notAccepted(err)
 	}
 	select {
 	case <-p.done:
 		return p.answer, p.err
 	case <-ctx.Done():
 	}
-	if c.forget(number) {
-		// If the connection has failed, the other side learns from that.
+	if c.removePending(number) {
+		// The error is ignored: if the connection has failed, the peer notices that too.
 		_ = c.conn.send(cancelFrame, number, nil)
 		return nil, ctx.Err()
 	}
@@ -81,53 +82,56 @@
 	return p.answer, p.err
 }
 
-// Usable says whether further calls may be sent.
+// Usable reports whether further calls may be sent.
 func (c *Client) Usable() bool {
 	c.mu.Lock()
-	left := c.left
+	goingAway := c.goingAway
 	c.mu.Unlock()
-	return !left && c.conn.failure() == nil
+	return !goingAway && c.conn.failure() == nil
 }
 
-// Close ends the connection and the calls on it.
+// Close closes the connection, which fails the calls in flight.
 func (c *Client) Close() {
 	c.conn.fail(errClosed)
 }
 
-// register gives a call its number; there is none once the other side leaves.
+// register assigns a number to a new call. It returns nil once the peer has sent a
+// goAwayFrame.
 func (c *Client) register() (uint32, *pending) {
 	p := &pending{done: make(chan struct{})}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.left {
+	if c.goingAway {
 		return 0, nil
 	}
-	c.last++
-	c.used = time.Now()
+	c.lastNumber++
+	c.lastUsed = time.Now()
 	if len(c.pending) == 0 {
-		c.busySince = c.used
+		c.busySince = c.lastUsed
 	}
-	c.pending[c.last] = p
-	return c.last, p
+	c.pending[c.lastNumber] = p
+	return c.lastNumber, p
 }
 
-// forget takes a call from those that wait, and says whether it still did.
-func (c *Client) forget(number uint32) bool {
+// removePending removes a call from the pending ones and reports whether it was still
+// pending.
+func (c *Client) removePending(number uint32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, waits := c.pending[number]
 	delete(c.pending, number)
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 	return waits
 }
 
-// take is forget, and returns the call.
-func (c *Client) take(number uint32) *pending {
+// takePending removes a call from the pending ones and returns it, nil if it was not
+// pending any more.
+func (c *Client) takePending(number uint32) *pending {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pending[number]
 	delete(c.pending, number)
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 	return p
 }
 
@@ -139,7 +143,7 @@
 		got, buffer, err = c.conn.read(buffer)
 		if err != nil {
 			c.conn.fail(err)
-			c.end()
+			c.failPending()
 			return
 		}
 		c.handle(got)
@@ -149,45 +153,45 @@
 func (c *Client) handle(got frame) {
 	switch got.kind {
 	case answerFrame:
-		if p := c.take(got.call); p != nil {
+		if p := c.takePending(got.call); p != nil {
 			p.answer, p.err = decodeResponse(got.body)
 			close(p.done)
 		}
 	case noAnswerFrame:
-		if p := c.take(got.call); p != nil {
+		if p := c.takePending(got.call); p != nil {
 			p.fail(ErrNoAnswer)
 		}
 	case tooLargeFrame:
-		if p := c.take(got.call); p != nil {
+		if p := c.takePending(got.call); p != nil {
 			p.fail(ErrTooLarge)
 		}
 	case pingFrame:
 		_ = c.conn.send(pongFrame, got.call, nil)
-	case leavingFrame:
-		c.leaving(got.call)
+	case goAwayFrame:
+		c.handleGoAway(got.call)
 	}
 }
 
-// leaving ends the calls that the other side did not take, and lets no further one
-// be sent here.
-func (c *Client) leaving(through uint32) {
+// handleGoAway fails the calls that the peer did not accept and keeps further calls from
+// being sent on this connection.
+func (c *Client) handleGoAway(lastAccepted uint32) {
 	c.mu.Lock()
-	c.left = true
-	var left []*pending
+	c.goingAway = true
+	var rejected []*pending
 	for number, p := range c.pending {
-		if number > through {
+		if number > lastAccepted {
 			delete(c.pending, number)
-			left = append(left, p)
+			rejected = append(rejected, p)
 		}
 	}
 	c.mu.Unlock()
-	for _, p := range left {
-		p.fail(ErrNeverTaken)
+	for _, p := range rejected {
+		p.fail(ErrNotAccepted)
 	}
 }
 
-// end fails all calls after the connection has.
-func (c *Client) end() {
+// failPending fails all pending calls after the connection has failed.
+func (c *Client) failPending() {
 	c.stop()
 	reason := c.conn.failure()
 	c.mu.Lock()
--- a/internal/link/codec.go
+++ b/internal/link/codec.go
@@ -8,30 +8,33 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
-// decoder reads the message of a call or of an answer. It knows the same form as the
-// generated code, and differs in memory: all texts of a message are parts of one, and
-// its headers lie side by side. A message has some thirty texts.
+// decoder decodes the request or response message of a frame. It reads the same format as
+// the generated code but allocates less: all strings of a message share one allocation,
+// and so do its headers. A message has about 30 strings.
 type decoder struct {
 	frame []byte
-	// text is the frame without its body, which begins and ends at these places.
-	text      string
-	bodyBegin int
-	bodyEnd   int
-	headers   []relaypb.Header
-	packed    []*relaypb.Header
-	err       error
+	// text is the frame without the body field's value, which lies between bodyBegin and
+	// bodyEnd. Strings of the message are substrings of text.
+	text           string
+	bodyBegin      int
+	bodyEnd        int
+	headers        []relaypb.Header
+	headerPointers []*relaypb.Header
+	err            error
 }
 
 // field is one field of a message in the frame.
 type field struct {
 	number protowire.Number
-	// value is that of a number, and begin and end the place of anything longer.
+	// value is the value of a numeric field. begin and end delimit the value of a
+	// length-delimited field within the frame.
 	value uint64
 	begin int
 	end   int
 }
 
-// The numbers of the fields of relay.proto that the decoder has to find first.
+// Numbers of the fields of relay.proto that newDecoder locates before the fields are
+// decoded.
 const (
 	requestHeaders  = 13
 	requestBody     = 14
@@ -39,12 +42,12 @@
 	responseBody    = 5
 )
 
-var errFrame = errors.New("link: frame holds no message")
+var errMalformedFrame = errors.New("link: malformed message in frame")
 
 func newDecoder(frame []byte, headers, body protowire.Number) *decoder {
 	d := &decoder{frame: frame, bodyBegin: len(frame), bodyEnd: len(frame)}
 	count := 0
-	d.each(0, len(frame), func(f field) {
+	d.eachField(0, len(frame), func(f field) {
 		switch f.number {
 		case headers:
 			count++
@@ -55,15 +58,16 @@
 	d.text = string(frame[:d.bodyBegin]) + string(frame[d.bodyEnd:])
 	if count > 0 {
 		d.headers = make([]relaypb.Header, 0, count)
-		d.packed = make([]*relaypb.Header, 0, count)
+		d.headerPointers = make([]*relaypb.Header, 0, count)
 	}
 	return d
 }
 
-// each calls a function with the fields of the message at a place of the frame.
-func (d *decoder) each(begin, end int, use func(f field)) {
+// eachField calls a function with each field of the message between two offsets of the
+// frame.
+func (d *decoder) eachField(begin, end int, use func(f field)) {
 	for begin < end && d.err == nil {
-		f, next := d.next(begin, end)
+		f, next := d.nextField(begin, end)
 		if d.err == nil {
 			use(f)
 		}
@@ -71,11 +75,11 @@
 	}
 }
 
-// next reads the field at a place, and returns the place behind it.
-func (d *decoder) next(begin, end int) (field, int) {
+// nextField reads the field at an offset and returns the offset after it.
+func (d *decoder) nextField(begin, end int) (field, int) {
 	number, kind, n := protowire.ConsumeTag(d.frame[begin:end])
 	if n < 0 {
-		d.err = errFrame
+		d.err = errMalformedFrame
 		return field{}, end
 	}
 	begin += n
@@ -94,20 +98,20 @@
 		n = protowire.ConsumeFieldValue(number, kind, d.frame[begin:end])
 	}
 	if n < 0 {
-		d.err = errFrame
+		d.err = errMalformedFrame
 		return field{}, end
 	}
 	return f, begin + n
 }
 
-// string returns the text at a field's place.
+// string returns the value of a string field.
 func (d *decoder) string(f field) string {
 	if f.begin >= d.bodyEnd {
 		skipped := d.bodyEnd - d.bodyBegin
 		return d.text[f.begin-skipped : f.end-skipped]
 	}
 	if f.end > d.bodyBegin {
-		d.err = errFrame
+		d.err = errMalformedFrame
 		return ""
 	}
 	return d.text[f.begin:f.end]
@@ -120,11 +124,11 @@
 	return append([]byte(nil), d.frame[d.bodyBegin:d.bodyEnd]...)
 }
 
-func (d *decoder) header(at field) {
+func (d *decoder) addHeader(at field) {
 	d.headers = append(d.headers, relaypb.Header{})
 	header := &d.headers[len(d.headers)-1]
-	d.packed = append(d.packed, header)
-	d.each(at.begin, at.end, func(f field) {
+	d.headerPointers = append(d.headerPointers, header)
+	d.eachField(at.begin, at.end, func(f field) {
 		switch f.number {
 		case 1:
 			header.Name = d.string(f)
@@ -134,30 +138,31 @@
 	})
 }
 
-// decodeRequest reads the message of a call.
+// decodeRequest decodes the message of a callFrame.
 func decodeRequest(frame []byte) (*relaypb.CarryRequest, error) {
 	d := newDecoder(frame, requestHeaders, requestBody)
 	r := &relaypb.CarryRequest{}
-	d.each(0, len(frame), func(f field) { d.requestField(r, f) })
-	r.Headers = d.packed
+	d.eachField(0, len(frame), func(f field) { d.requestField(r, f) })
+	r.Headers = d.headerPointers
 	r.Body = d.body()
 	return r, d.err
 }
 
 func (d *decoder) requestField(r *relaypb.CarryRequest, f field) {
 	if f.number == requestHeaders {
-		d.header(f)
+		d.addHeader(f)
 		return
 	}
-	if text := requestText(r, f.number); text != nil {
+	if text := requestStringField(r, f.number); text != nil {
 		*text = d.string(f)
 		return
 	}
-	requestNumber(r, f)
+	setRequestNumber(r, f)
 }
 
-// requestText returns where the text of a number belongs, nil if there is none.
-func requestText(r *relaypb.CarryRequest, number protowire.Number) *string {
+// requestStringField returns the field of r with that number, nil if it is not a string
+// field.
+func requestStringField(r *relaypb.CarryRequest, number protowire.Number) *string {
 	switch number {
 	case 1:
 		return &r.AttemptId
@@ -185,7 +190,7 @@
 	return nil
 }
 
-func requestNumber(r *relaypb.CarryRequest, f field) {
+func setRequestNumber(r *relaypb.CarryRequest, f field) {
 	switch f.number {
 	case 6:
 		r.Importance = uint32(f.value)
@@ -204,12 +209,12 @@
 	}
 }
 
-// decodeResponse reads the message of an answer.
+// decodeResponse decodes the message of an answerFrame.
 func decodeResponse(frame []byte) (*relaypb.CarryResponse, error) {
 	d := newDecoder(frame, responseHeaders, responseBody)
 	r := &relaypb.CarryResponse{}
-	d.each(0, len(frame), func(f field) { d.responseField(r, f) })
-	r.Headers = d.packed
+	d.eachField(0, len(frame), func(f field) { d.responseField(r, f) })
+	r.Headers = d.headerPointers
 	r.Body = d.body()
 	return r, d.err
 }
@@ -223,7 +228,7 @@
 	case 3:
 		r.Status = uint32(f.value)
 	case responseHeaders:
-		d.header(f)
+		d.addHeader(f)
 	case 6:
 		r.Digest = f.value
 	case 7:
@@ -249,7 +254,7 @@
 
 func (d *decoder) level(at field) *relaypb.Level {
 	level := &relaypb.Level{}
-	d.each(at.begin, at.end, func(f field) {
+	d.eachField(at.begin, at.end, func(f field) {
 		switch f.number {
 		case 1:
 			level.Service = d.string(f)
@@ -266,7 +271,7 @@
 
 func (d *decoder) load(at field) *relaypb.Load {
 	load := &relaypb.Load{}
-	d.each(at.begin, at.end, func(f field) {
+	d.eachField(at.begin, at.end, func(f field) {
 		switch f.number {
 		case 1:
 			load.InFlight = uint32(f.value)
@@ -289,7 +294,7 @@
 
 func (d *decoder) pressed(at field) *relaypb.Pressed {
 	pressed := &relaypb.Pressed{}
-	d.each(at.begin, at.end, func(f field) {
+	d.eachField(at.begin, at.end, func(f field) {
 		switch f.number {
 		case 1:
 			pressed.Service = d.string(f)
--- a/internal/link/codec_test.go
+++ b/internal/link/codec_test.go
@@ -58,8 +58,8 @@
 	return r
 }
 
-// What the decoder reads is what the generated code wrote, and stays as it is when the
-// frame's memory is used again.
+// The decoder reads what the generated code wrote, and the decoded message does not
+// change when the frame's buffer is reused.
 func TestDecoderReadsWhatWasWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		request, response := drawRequest(t), drawResponse(t)
@@ -82,8 +82,8 @@
 	})
 }
 
-// Every field of both messages is read: one that is added to relay.proto later must not
-// be lost on links alone.
+// Guards against a field that is added to relay.proto later but not to the decoder, which
+// would be lost on links only.
 func TestDecoderKnowsEveryField(t *testing.T) {
 	is := is.New(t)
 	is.Equal((&relaypb.CarryRequest{}).ProtoReflect().Descriptor().Fields().Len(), 20)
@@ -94,8 +94,7 @@
 	is.Equal((&relaypb.Header{}).ProtoReflect().Descriptor().Fields().Len(), 2)
 }
 
-// A frame that holds anything else is refused or read as far as it goes, and harms
-// nothing.
+// Arbitrary frames must be rejected or decoded partially without a panic.
 func FuzzDecoder(f *testing.F) {
 	frame, err := proto.Marshal(&relaypb.CarryRequest{AttemptId: "a", Headers: []*relaypb.Header{{Name: "b", Value: "c"}}, Body: []byte("d"), Host: "e"})
 	if err != nil {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,9 +1,9 @@
-// Package link carries calls from one node to another. All calls to a node share
-// one connection, on which their frames are mixed.
+// Package link carries calls from one node to another. All calls to a node are
+// multiplexed on one connection.
 //
-// A frame is its length, its kind and the number of the call, followed by the
-// message of the call or of its answer. Frames that become ready while others are
-// written go out together, in one write.
+// A frame consists of its length, its kind and the number of the call, followed by the
+// request or response message. Frames that are queued while a write is in progress are
+// sent together in the next write.
 package link
 
 import (
@@ -23,104 +23,108 @@
 )
 
 type (
-	// frameKind says what a frame is for.
+	// frameKind is the type of a frame.
 	frameKind uint8
 
-	// frame is one frame without its length.
+	// frame is one frame without its length field.
 	frame struct {
 		kind frameKind
-		// call is the number of the call, counted by the side that makes it.
+		// call is the number of the call, assigned by the calling side.
 		call uint32
 		body []byte
 	}
 
-	// conn is either end of a connection.
+	// conn is a connection, as used by either side.
 	conn struct {
 		raw    net.Conn
 		reader *bufio.Reader
-		// heard is when the last frame arrived, in nanoseconds since start.
-		heard atomic.Int64
-		start time.Time
+		// lastRead is when the last frame arrived, in nanoseconds since start.
+		lastRead atomic.Int64
+		start    time.Time
 
 		mu sync.Mutex
-		// queue holds the frames that are not written yet, and spare the memory of
-		// those that were.
+		// queue holds the encoded frames that have not been written yet. spare is the
+		// buffer of an earlier write, kept for reuse.
 		queue  []byte
 		spare  []byte
 		failed error
-		// wake tells the writer that the queue is not empty or that the end has come.
+		// wake tells the writer that the queue is not empty.
 		wake chan struct{}
 	}
 )
 
-// The kinds of frames.
+// Kinds of frames.
 const (
-	// callFrame and answerFrame carry messages.
+	// callFrame and answerFrame carry a request and its response.
 	callFrame frameKind = iota + 1
 	answerFrame
-	// cancelFrame says that nobody waits for the call any more, and noAnswerFrame
-	// that it ended without an answer.
+	// cancelFrame says that the caller has given up on the call, and noAnswerFrame that
+	// the call ended without a response.
 	cancelFrame
 	noAnswerFrame
-	// tooLargeFrame says that the answer does not fit into a frame.
+	// tooLargeFrame says that the response exceeds the size limit of a frame.
 	tooLargeFrame
-	// pingFrame asks for a pongFrame.
+	// pingFrame requests a pongFrame.
 	pingFrame
 	pongFrame
-	// leavingFrame says that no call above its number was taken or ever will be.
-	leavingFrame
+	// goAwayFrame says that no call with a higher number than that of the frame was or
+	// will be accepted.
+	goAwayFrame
 )
 
 const (
-	// hello is what both sides send first. It is as long as the preface of HTTP/2 and
-	// ends like a head of HTTP/1, so that servers of both refuse it at once.
+	// hello is the first thing that both sides send. It is as long as the preface of
+	// HTTP/2 and ends like the head of an HTTP/1 message, so that servers of both
+	// protocols reject it at once.
 	hello = "dandelionfield-link/1\r\n\r\n"
-	// headBytes is the size of a frame's head: the length, the kind and the number.
-	headBytes   = 9
-	lengthBytes = 4
-	// maxFrameBytes bounds one frame.
+	// frameHeaderBytes is the size of a frame's header: length, kind and call number.
+	frameHeaderBytes = 9
+	lengthBytes      = 4
+	// maxFrameBytes limits the size of one frame.
 	maxFrameBytes = 16 << 20
-	// maxQueueBytes bounds what is held for a peer that does not read.
+	// maxQueueBytes limits the data that is queued for a peer that does not read.
 	maxQueueBytes = 32 << 20
-	// keptBytes is the largest buffer that is kept for further frames. A node of a
-	// large installation has a hundred connections and more.
-	keptBytes   = 8 << 10
-	readBytes   = 4 << 10
-	helloWait   = 500 * time.Millisecond
-	writeWait   = 5 * time.Second
-	firstNumber = 1
+	// maxRecycledBytes is the largest buffer that is kept for further frames. It is small
+	// because a node of a large installation has a hundred connections or more.
+	maxRecycledBytes = 8 << 10
+	readBufferBytes  = 4 << 10
+	handshakeTimeout = 500 * time.Millisecond
+	writeTimeout     = 5 * time.Second
+	pingNumber       = 1
 )
 
-// Why a call has no answer.
+// Reasons why a call has no response.
 var (
-	// ErrNeverTaken means that the call was not taken by the other node.
-	ErrNeverTaken = errors.New("link: the other node took no further call")
-	// ErrTooLarge means that a message is larger than a frame may be.
+	// ErrNotAccepted means that the peer did not accept the call, so the call did not
+	// run.
+	ErrNotAccepted = errors.New("link: call not accepted by the peer")
+	// ErrTooLarge means that a message exceeds the size limit of a frame.
 	ErrTooLarge = errors.New("link: message too large")
-	// ErrNoAnswer means that the other node ended the call without an answer.
-	ErrNoAnswer = errors.New("link: the call ended without an answer")
-	// ErrSilent means that the connection brings nothing any more.
-	ErrSilent = errors.New("link: connection is silent")
-	// ErrOtherProtocol means that the other node does not speak this protocol.
-	ErrOtherProtocol = errors.New("link: the other side speaks another protocol")
+	// ErrNoAnswer means that the peer ended the call without a response.
+	ErrNoAnswer = errors.New("link: call ended without a response")
+	// ErrSilent means that the connection was closed because the peer did not answer a
+	// ping.
+	ErrSilent = errors.New("link: peer did not answer the ping")
+	// ErrOtherProtocol means that the peer does not speak this protocol.
+	ErrOtherProtocol = errors.New("link: peer does not speak the link protocol")
 
-	errIdle   = errors.New("link: idle connection closed")
-	errQueue  = errors.New("link: the peer does not read")
-	errClosed = errors.New("link: closed")
+	errIdle      = errors.New("link: idle connection closed")
+	errQueueFull = errors.New("link: write queue full: peer does not read")
+	errClosed    = errors.New("link: connection closed")
 )
 
 func newConn(raw net.Conn) *conn {
 	return &conn{
 		raw:    raw,
-		reader: bufio.NewReaderSize(raw, readBytes),
+		reader: bufio.NewReaderSize(raw, readBufferBytes),
 		start:  time.Now(),
 		wake:   make(chan struct{}, 1),
 	}
 }
 
-// greet sends the hello and reads that of the other side.
-func (c *conn) greet() error {
-	_ = c.raw.SetDeadline(time.Now().Add(helloWait))
+// handshake sends the hello and waits for the peer's.
+func (c *conn) handshake() error {
+	_ = c.raw.SetDeadline(time.Now().Add(handshakeTimeout))
 	if _, err := io.WriteString(c.raw, hello); err != nil {
 		return err
 	}
@@ -145,7 +149,7 @@
 	return nil
 }
 
-// send queues a frame with a message, which may be nil.
+// send queues a frame. The message may be nil.
 func (c *conn) send(kind frameKind, call uint32, message proto.Message) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,8 +157,8 @@
 		return c.failed
 	}
 	if len(c.queue) > maxQueueBytes {
-		c.failLocked(errQueue)
-		return errQueue
+		c.failLocked(errQueueFull)
+		return errQueueFull
 	}
 	queue, err := appendFrame(c.queue, kind, call, message)
 	if err != nil {
@@ -165,10 +169,10 @@
 	return nil
 }
 
-// appendFrame adds a frame to a buffer, which stays as it was on an error.
+// appendFrame appends a frame to a buffer. On an error it returns the buffer unchanged.
 func appendFrame(buffer []byte, kind frameKind, call uint32, message proto.Message) ([]byte, error) {
 	begin := len(buffer)
-	var head [headBytes]byte
+	var head [frameHeaderBytes]byte
 	head[lengthBytes] = byte(kind)
 	binary.BigEndian.PutUint32(head[lengthBytes+1:], call)
 	buffer = append(buffer, head[:]...)
@@ -186,24 +190,25 @@
 	return buffer, nil
 }
 
-// read returns the next frame, whose body is valid until the next call.
+// read returns the next frame and the buffer that holds its body. The body is valid until
+// that buffer is passed to the next read.
 func (c *conn) read(buffer []byte) (frame, []byte, error) {
-	var head [headBytes]byte
+	var head [frameHeaderBytes]byte
 	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
 		return frame{}, buffer, err
 	}
-	length := int(binary.BigEndian.Uint32(head[:])) - (headBytes - lengthBytes)
+	length := int(binary.BigEndian.Uint32(head[:])) - (frameHeaderBytes - lengthBytes)
 	if length < 0 || length > maxFrameBytes {
 		return frame{}, buffer, ErrTooLarge
 	}
-	if cap(buffer) < length || cap(buffer) > keptBytes {
+	if cap(buffer) < length || cap(buffer) > maxRecycledBytes {
 		buffer = make([]byte, length)
 	}
 	buffer = buffer[:length]
 	if _, err := io.ReadFull(c.reader, buffer); err != nil {
 		return frame{}, buffer, err
 	}
-	c.heard.Store(int64(time.Since(c.start)))
+	c.lastRead.Store(int64(time.Since(c.start)))
 	return frame{
 		kind: frameKind(head[lengthBytes]),
 		call: binary.BigEndian.Uint32(head[lengthBytes+1:]),
@@ -211,12 +216,12 @@
 	}, buffer, nil
 }
 
-// silence returns how long nothing has arrived.
-func (c *conn) silence() time.Duration {
-	return time.Since(c.start) - time.Duration(c.heard.Load())
+// sinceLastRead returns the time since the last frame arrived.
+func (c *conn) sinceLastRead() time.Duration {
+	return time.Since(c.start) - time.Duration(c.lastRead.Load())
 }
 
-// write sends what is queued until the connection fails.
+// write sends the queued frames until the connection fails or the context ends.
 func (c *conn) write(ctx context.Context) {
 	for {
 		select {
@@ -224,7 +229,7 @@
 			return
 		case <-c.wake:
 		}
-		// What else is about to be sent joins in.
+		// Lets other goroutines queue their frames, so that they join this write.
 		runtime.Gosched()
 		c.mu.Lock()
 		batch := c.queue
@@ -234,18 +239,18 @@
 		if len(batch) == 0 {
 			continue
 		}
-		_ = c.raw.SetWriteDeadline(time.Now().Add(writeWait))
+		_ = c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := c.raw.Write(batch); err != nil {
 			c.fail(err)
 			return
 		}
-		c.keep(batch)
+		c.recycle(batch)
 	}
 }
 
-// keep lets a written buffer be used again unless it has grown large.
-func (c *conn) keep(batch []byte) {
-	if cap(batch) > keptBytes {
+// recycle keeps a written buffer for reuse unless it has grown too large.
+func (c *conn) recycle(batch []byte) {
+	if cap(batch) > maxRecycledBytes {
 		return
 	}
 	c.mu.Lock()
@@ -260,7 +265,7 @@
 	}
 }
 
-// fail ends the connection; the first reason stands.
+// fail closes the connection. Only the first reason is recorded.
 func (c *conn) fail(reason error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -19,14 +19,14 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb/relaypbconnect"
 )
 
-// echo answers calls by connect-go as the server of the link does.
-type echo struct {
+// echoHandler answers calls over connect-go as the link server of the tests does.
+type echoHandler struct {
 	relaypbconnect.UnimplementedRelayHandler
 }
 
-var quick = Watch{PingAfter: 300 * time.Millisecond, PingTimeout: 300 * time.Millisecond, Idle: time.Second}
+var shortTimeouts = Keepalive{PingAfter: 300 * time.Millisecond, PingTimeout: 300 * time.Millisecond, IdleTimeout: time.Second}
 
-func (echo) Carry(ctx context.Context, request *connect.Request[relaypb.CarryRequest]) (*connect.Response[relaypb.CarryResponse], error) {
+func (echoHandler) Carry(ctx context.Context, request *connect.Request[relaypb.CarryRequest]) (*connect.Response[relaypb.CarryResponse], error) {
 	return connect.NewResponse(answer(ctx, request.Msg)), nil
 }
 
@@ -34,35 +34,35 @@
 	return &relaypb.CarryResponse{AttemptId: request.AttemptId, Code: 100, Status: 200, Body: request.Body}
 }
 
-// serve returns the address of a server of links, and of HTTP beside them.
+// serve starts a server of links and of HTTP/2 on the same port and returns its address.
 func serve(t testing.TB, server *Server) string {
 	t.Helper()
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, handler := relaypbconnect.NewRelayHandler(echo{})
-	beside := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
-	beside.Protocols = new(http.Protocols)
-	beside.Protocols.SetUnencryptedHTTP2(true)
-	go func() { _ = beside.Serve(Split(raw, server)) }()
-	t.Cleanup(func() { _ = beside.Close() })
+	_, handler := relaypbconnect.NewRelayHandler(echoHandler{})
+	httpServer := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
+	httpServer.Protocols = new(http.Protocols)
+	httpServer.Protocols.SetUnencryptedHTTP2(true)
+	go func() { _ = httpServer.Serve(Split(raw, server)) }()
+	t.Cleanup(func() { _ = httpServer.Close() })
 	return raw.Addr().String()
 }
 
 func newPool() *Pool {
-	return NewPool((&net.Dialer{Timeout: time.Second}).DialContext, quick)
+	return NewPool((&net.Dialer{Timeout: time.Second}).DialContext, shortTimeouts)
 }
 
-func withinSeconds(t testing.TB) context.Context {
+func testContext(t testing.TB) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func TestEachCallGetsItsOwnAnswer(t *testing.T) {
+func TestEachCallReceivesItsOwnAnswer(t *testing.T) {
 	address := serve(t, &Server{Carry: func(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
-		time.Sleep(time.Duration(len(request.Body)%7) * time.Millisecond) // answers overtake each other
+		time.Sleep(time.Duration(len(request.Body)%7) * time.Millisecond) // reorders the answers
 		return answer(ctx, request)
 	}})
 	pool := newPool()
@@ -71,9 +71,9 @@
 	for i := range calls {
 		go func() {
 			request := &relaypb.CarryRequest{AttemptId: fmt.Sprint(i), Body: make([]byte, i*500)}
-			response, err := pool.Carry(withinSeconds(t), address, request)
+			response, err := pool.Carry(testContext(t), address, request)
 			if err == nil && (response.AttemptId != request.AttemptId || len(response.Body) != len(request.Body)) {
-				err = errors.New("another call's answer")
+				err = errors.New("received the answer of another call")
 			}
 			errs <- err
 		}()
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestCallerThatLeavesEndsTheCall(t *testing.T) {
+func TestCancellationReachesTheServer(t *testing.T) {
 	is := is.New(t)
 	began, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	address := serve(t, &Server{Carry: func(ctx context.Context, _ *relaypb.CarryRequest) *relaypb.CarryResponse {
@@ -99,15 +99,16 @@
 	}()
 	_, err := newPool().Carry(ctx, address, &relaypb.CarryRequest{})
 	is.True(errors.Is(err, context.Canceled))
-	is.True(!errors.Is(err, ErrNeverTaken)) // it had been taken
+	is.True(!errors.Is(err, ErrNotAccepted)) // it had been accepted
 	select {
 	case <-ended:
 	case <-time.After(time.Second):
-		t.Error("the call goes on at the other node")
+		t.Error("the call is not cancelled at the server")
 	}
 }
 
-// A node that closes answers what it has taken, and callers may send the rest elsewhere.
+// A node that shuts down answers the calls it has accepted. Further calls fail with
+// ErrNotAccepted, so that callers may send them elsewhere.
 func TestClosingNodeTakesNoFurtherCall(t *testing.T) {
 	is := is.New(t)
 	began, release := make(chan struct{}, 1), make(chan struct{})
@@ -120,13 +121,13 @@
 	pool := newPool()
 	first := make(chan error, 1)
 	go func() {
-		_, err := pool.Carry(withinSeconds(t), address, &relaypb.CarryRequest{})
+		_, err := pool.Carry(testContext(t), address, &relaypb.CarryRequest{})
 		first <- err
 	}()
 	<-began
 	closed := make(chan struct{})
 	go func() {
-		server.Close(withinSeconds(t))
+		server.Close(testContext(t))
 		close(closed)
 	}()
 	for {
@@ -135,14 +136,14 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	_, err := pool.Carry(withinSeconds(t), address, &relaypb.CarryRequest{})
-	is.True(errors.Is(err, ErrNeverTaken))
+	_, err := pool.Carry(testContext(t), address, &relaypb.CarryRequest{})
+	is.True(errors.Is(err, ErrNotAccepted))
 	close(release)
 	is.NoErr(<-first)
 	<-closed
 }
 
-func TestMessagesThatAreTooLarge(t *testing.T) {
+func TestOversizedMessages(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, &Server{Carry: func(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
 		if request.AttemptId == "long answer" {
@@ -151,16 +152,16 @@
 		return answer(ctx, request)
 	}})
 	pool := newPool()
-	_, err := pool.Carry(withinSeconds(t), address, &relaypb.CarryRequest{Body: make([]byte, maxFrameBytes+1)})
+	_, err := pool.Carry(testContext(t), address, &relaypb.CarryRequest{Body: make([]byte, maxFrameBytes+1)})
 	is.True(errors.Is(err, ErrTooLarge))
-	_, err = pool.Carry(withinSeconds(t), address, &relaypb.CarryRequest{AttemptId: "long answer"})
+	_, err = pool.Carry(testContext(t), address, &relaypb.CarryRequest{AttemptId: "long answer"})
 	is.True(errors.Is(err, ErrTooLarge))
-	_, err = pool.Carry(withinSeconds(t), address, &relaypb.CarryRequest{}) // the connection still serves
+	_, err = pool.Carry(testContext(t), address, &relaypb.CarryRequest{}) // the connection is still usable
 	is.NoErr(err)
 }
 
-// A node of another version speaks HTTP/2 only; nothing of a call reaches it here.
-func TestNodeWithoutLinks(t *testing.T) {
+// A node of another version may speak HTTP/2 only. Probing it must not deliver a call.
+func TestPeerWithoutLinkProtocol(t *testing.T) {
 	is := is.New(t)
 	var asked atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked.Add(1) }))
@@ -168,38 +169,38 @@
 	server.Config.Protocols.SetUnencryptedHTTP2(true)
 	server.Start()
 	t.Cleanup(server.Close)
-	_, err := newPool().Carry(withinSeconds(t), server.Listener.Addr().String(), &relaypb.CarryRequest{})
+	_, err := newPool().Carry(testContext(t), server.Listener.Addr().String(), &relaypb.CarryRequest{})
 	is.True(errors.Is(err, ErrOtherProtocol))
 	is.Equal(asked.Load(), int32(0))
 }
 
-func TestClosedPortTookNothing(t *testing.T) {
+func TestClosedPortIsNotAccepted(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is := is.New(t)
 	is.NoErr(err)
 	address := listener.Addr().String()
 	is.NoErr(listener.Close())
-	_, err = newPool().Carry(withinSeconds(t), address, &relaypb.CarryRequest{})
-	is.True(errors.Is(err, ErrNeverTaken))
+	_, err = newPool().Carry(testContext(t), address, &relaypb.CarryRequest{})
+	is.True(errors.Is(err, ErrNotAccepted))
 }
 
-// A connection that nobody uses is closed, and pings keep no connection open.
+// A connection without calls is closed: pings must not keep it open.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, &Server{Carry: answer})
 	pool := newPool()
-	_, err := pool.Carry(withinSeconds(t), address, &relaypb.CarryRequest{})
+	_, err := pool.Carry(testContext(t), address, &relaypb.CarryRequest{})
 	is.NoErr(err)
 	client := pool.slot(address).client
 	for end := time.Now().Add(5 * time.Second); client.Usable(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("still open")
+			t.Fatal("idle connection still open after 5 s")
 		}
 	}
 }
 
-// HTTP/2 took more than half of the memory and processor time of a call between
-// nodes, with which the nodes beside a busy service had none left.
+// HTTP/2 took more than half of the memory and processor time of a call between nodes,
+// which left none for the nodes next to a busy service.
 func TestCallOnALinkCostsAFractionOfHTTP2(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, &Server{Carry: answer})
@@ -221,7 +222,7 @@
 	is.True(onLink*3 < onHTTP2)
 }
 
-// countingConn counts what goes out.
+// countingConn counts the bytes written.
 type countingConn struct {
 	net.Conn
 	sent *atomic.Int64
@@ -232,7 +233,7 @@
 	return c.Conn.Write(p)
 }
 
-// A connection without a call costs nothing: a node has one to each other node that it
+// Idle connections are not pinged: a node has a connection to each other node that it
 // calls now and then, and pings on all of them took a tenth of its processor time.
 func TestNothingIsSentWithoutACall(t *testing.T) {
 	is := is.New(t)
@@ -241,30 +242,31 @@
 	pool := NewPool(func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return countingConn{conn, &sent}, err
-	}, Watch{PingAfter: 50 * time.Millisecond, PingTimeout: 50 * time.Millisecond, Idle: 10 * time.Second})
-	_, err := pool.Carry(withinSeconds(t), address, &relaypb.CarryRequest{})
+	}, Keepalive{PingAfter: 50 * time.Millisecond, PingTimeout: 50 * time.Millisecond, IdleTimeout: 10 * time.Second})
+	_, err := pool.Carry(testContext(t), address, &relaypb.CarryRequest{})
 	is.NoErr(err)
 	before := sent.Load()
 	time.Sleep(500 * time.Millisecond)
 	is.Equal(sent.Load(), before)
-	_, err = pool.Carry(withinSeconds(t), address, &relaypb.CarryRequest{})
+	_, err = pool.Carry(testContext(t), address, &relaypb.CarryRequest{})
 	is.NoErr(err)
 }
 
-// A call that takes long on a connection that works is not taken for a silent one.
+// A slow call on a live connection must not be mistaken for a silent peer.
 func TestLongCallIsWaitedFor(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, &Server{Carry: func(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
 		time.Sleep(time.Second)
 		return answer(ctx, request)
 	}})
-	pool := NewPool((&net.Dialer{}).DialContext, Watch{PingAfter: 50 * time.Millisecond, PingTimeout: 100 * time.Millisecond, Idle: time.Second})
-	_, err := pool.Carry(withinSeconds(t), address, &relaypb.CarryRequest{})
+	pool := NewPool((&net.Dialer{}).DialContext, Keepalive{PingAfter: 50 * time.Millisecond, PingTimeout: 100 * time.Millisecond, IdleTimeout: time.Second})
+	_, err := pool.Carry(testContext(t), address, &relaypb.CarryRequest{})
 	is.NoErr(err)
 }
 
-// A node that takes a call and falls silent is given up soon, and named.
-func TestSilentNodeIsGivenUpAndNamed(t *testing.T) {
+// A peer that accepts a call and then falls silent is detected within two seconds and
+// reported to OnSilent.
+func TestSilentPeerIsClosedAndReported(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -277,12 +279,12 @@
 		_, _ = io.WriteString(conn, hello)
 		time.Sleep(10 * time.Second)
 	}()
-	named := make(chan string, 10)
+	reported := make(chan string, 10)
 	pool := newPool()
-	pool.Silent = func(address string) { named <- address }
+	pool.OnSilent = func(address string) { reported <- address }
 	began := time.Now()
-	_, err = pool.Carry(withinSeconds(t), listener.Addr().String(), &relaypb.CarryRequest{})
+	_, err = pool.Carry(testContext(t), listener.Addr().String(), &relaypb.CarryRequest{})
 	is.True(errors.Is(err, ErrSilent))
 	is.True(time.Since(began) < 2*time.Second)
-	is.Equal(<-named, listener.Addr().String())
+	is.Equal(<-reported, listener.Addr().String())
 }
--- a/internal/link/pool.go
+++ b/internal/link/pool.go
@@ -12,34 +12,36 @@
 )
 
 type (
-	// Opener opens a connection, as net.Dialer does.
-	Opener func(ctx context.Context, network, address string) (net.Conn, error)
+	// DialFunc opens a connection, as net.Dialer.DialContext does.
+	DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 	// Pool keeps one connection to each node that is called.
 	Pool struct {
-		// Silent is told of a connection that is closed since the other side does not
-		// answer its ping. It is set before the first call and may be nil.
-		Silent func(address string)
+		// OnSilent is called when a connection is closed because the peer did not answer
+		// a ping. It must be set before the first call and may be nil.
+		OnSilent func(address string)
 
-		open  Opener
-		watch Watch
+		dial      DialFunc
+		keepalive Keepalive
 
 		mu    sync.Mutex
 		slots map[string]*slot
-		// clients are the connections that are looked at.
+		// clients are the connections whose liveness is monitored.
 		clients []*Client
 	}
 
-	// slot is the connection to one address.
+	// slot holds the connection to one address.
 	slot struct {
 		mu      sync.Mutex
 		client  *Client
 		opening *opening
-		// otherUntil is until when the address is taken to speak another protocol.
-		otherUntil time.Time
+		// otherProtocolUntil is the time until which the address is assumed to speak
+		// another protocol.
+		otherProtocolUntil time.Time
 	}
 
-	// opening is a connection that is being opened; the rest is set when it is done.
+	// opening is a connection attempt in progress. client and err are set before done is
+	// closed.
 	opening struct {
 		done   chan struct{}
 		client *Client
@@ -47,17 +49,18 @@
 	}
 )
 
-// otherProtocolFor is how long an address that does not speak this protocol is not
-// asked again whether it does.
-const otherProtocolFor = 5 * time.Second
+// protocolRecheckAfter is how long an address that does not speak this protocol is not
+// tried again.
+const protocolRecheckAfter = 5 * time.Second
 
 // NewPool returns a pool without connections.
-func NewPool(open Opener, watch Watch) *Pool {
-	return &Pool{open: open, watch: watch, slots: map[string]*slot{}}
+func NewPool(dial DialFunc, keepalive Keepalive) *Pool {
+	return &Pool{dial: dial, keepalive: keepalive, slots: map[string]*slot{}}
 }
 
-// Carry sends a call to the node at an address. An error that wraps ErrNeverTaken
-// or ErrOtherProtocol, and one of the opener, mean that the call was not sent.
+// Carry sends a call to the node at an address and waits for the response. The call did
+// not run if the error wraps ErrNotAccepted or ErrOtherProtocol; errors of the dial
+// function are wrapped in ErrNotAccepted.
 func (p *Pool) Carry(ctx context.Context, address string, request *relaypb.CarryRequest) (*relaypb.CarryResponse, error) {
 	client, err := p.slot(address).get(ctx, p, address)
 	if err != nil {
@@ -77,20 +80,21 @@
 	return s
 }
 
-// get returns the connection of a slot, and has one opened where there is none.
+// get returns the open connection of the slot. If there is none, it starts opening one,
+// or joins an attempt in progress, and waits for it.
 func (s *slot) get(ctx context.Context, pool *Pool, address string) (*Client, error) {
 	s.mu.Lock()
 	if s.client != nil && s.client.Usable() {
 		defer s.mu.Unlock()
 		return s.client, nil
 	}
-	if time.Now().Before(s.otherUntil) {
+	if time.Now().Before(s.otherProtocolUntil) {
 		defer s.mu.Unlock()
 		return nil, ErrOtherProtocol
 	}
 	if s.opening == nil {
 		s.opening = &opening{done: make(chan struct{})}
-		go s.fill(s.opening, pool, address)
+		go s.connect(s.opening, pool, address)
 	}
 	opening := s.opening
 	s.mu.Unlock()
@@ -98,23 +102,23 @@
 	case <-opening.done:
 		return opening.client, opening.err
 	case <-ctx.Done():
-		return nil, neverTaken(ctx.Err())
+		return nil, notAccepted(ctx.Err())
 	}
 }
 
-// fill opens the connection for all calls that wait for it.
-func (s *slot) fill(opening *opening, pool *Pool, address string) {
-	client, err := Dial(context.Background(), pool.open, address)
+// connect opens the connection on behalf of all calls that wait for it.
+func (s *slot) connect(opening *opening, pool *Pool, address string) {
+	client, err := Dial(context.Background(), pool.dial, address)
 	if client != nil {
-		pool.keep(client)
+		pool.addClient(client)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if errors.Is(err, ErrOtherProtocol) {
-		s.otherUntil = time.Now().Add(otherProtocolFor)
+		s.otherProtocolUntil = time.Now().Add(protocolRecheckAfter)
 	}
 	if err != nil {
-		opening.err = neverTaken(err)
+		opening.err = notAccepted(err)
 	}
 	opening.client = client
 	s.client = client
@@ -122,10 +126,11 @@
 	close(opening.done)
 }
 
-// neverTaken marks an error by which a call was not sent.
-func neverTaken(err error) error {
+// notAccepted wraps an error that kept a call from being sent in ErrNotAccepted.
+// ErrTooLarge and ErrOtherProtocol are returned as they are.
+func notAccepted(err error) error {
 	if errors.Is(err, ErrTooLarge) || errors.Is(err, ErrOtherProtocol) {
 		return err
 	}
-	return fmt.Errorf("%w: %w", ErrNeverTaken, err)
+	return fmt.Errorf("%w: %w", ErrNotAccepted, err)
 }
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -13,9 +13,10 @@
 )
 
 type (
-	// Server answers the calls of other nodes.
+	// Server serves the calls of other nodes.
 	Server struct {
-		// Carry answers one call, nil when its context ended first.
+		// Carry handles one call. It returns nil if the context ended before there was a
+		// response.
 		Carry func(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse
 
 		mu     sync.Mutex
@@ -30,13 +31,13 @@
 		ctx    context.Context
 		stop   context.CancelFunc
 
-		mu    sync.Mutex
-		last  uint32
-		calls map[uint32]context.CancelFunc
-		gone  bool
+		mu         sync.Mutex
+		lastNumber uint32
+		calls      map[uint32]context.CancelFunc
+		goAwaySent bool
 	}
 
-	// splitter hands out the connections that are no links.
+	// splitter is a listener for the connections that do not speak the link protocol.
 	splitter struct {
 		net.Listener
 		others chan net.Conn
@@ -44,36 +45,38 @@
 		server *Server
 	}
 
-	// peeked is a connection of which the first bytes were looked at.
-	peeked struct {
+	// peekedConn is a connection whose first bytes have been read into a buffer.
+	peekedConn struct {
 		net.Conn
 		reader *bufio.Reader
 	}
 )
 
 const (
-	// firstBytes is how many bytes tell a link from HTTP.
-	firstBytes = 4
-	// firstBytesWait bounds the wait for what a connection begins with.
-	firstBytesWait = 3 * time.Second
-	// silentAfter is how long a peer may send nothing: it pings while it is there.
-	silentAfter = 10 * time.Second
-	// acceptPause is the wait after an accept that failed for want of descriptors.
-	acceptPause = 20 * time.Millisecond
-	// closePoll is the time between two looks at whether calls have ended, and what
-	// the last frames get to go out.
-	closePoll = 5 * time.Millisecond
+	// prefixBytes is how many bytes distinguish the link protocol from HTTP.
+	prefixBytes = 4
+	// prefixTimeout limits the wait for the first bytes of a connection.
+	prefixTimeout = 3 * time.Second
+	// peerReadTimeout is how long a peer may send nothing. A live peer pings earlier
+	// while it has calls in flight, and closes connections without calls.
+	peerReadTimeout = 10 * time.Second
+	// acceptBackoff is the pause after a temporary accept error, such as running out of
+	// file descriptors.
+	acceptBackoff = 20 * time.Millisecond
+	// closePollInterval is the time between two checks of whether all calls have ended,
+	// and the time that the last frames get to be sent.
+	closePollInterval = 5 * time.Millisecond
 )
 
-// Split serves the links among the connections of a listener, and returns a
-// listener of all others.
+// Split serves the connections of a listener that speak the link protocol and returns a
+// listener for all others.
 func Split(listener net.Listener, server *Server) net.Listener {
 	s := &splitter{Listener: listener, others: make(chan net.Conn), failed: make(chan error, 1), server: server}
 	go s.run()
 	return s
 }
 
-// Accept returns the next connection that is no link.
+// Accept returns the next connection that does not speak the link protocol.
 func (s *splitter) Accept() (net.Conn, error) {
 	select {
 	case other := <-s.others:
@@ -90,23 +93,23 @@
 		if err != nil {
 			var temporary interface{ Temporary() bool }
 			if errors.As(err, &temporary) && temporary.Temporary() {
-				time.Sleep(acceptPause)
+				time.Sleep(acceptBackoff)
 				continue
 			}
 			s.failed <- err
 			return
 		}
-		go s.sort(raw)
+		go s.classify(raw)
 	}
 }
 
-// sort tells by its first bytes what a connection is.
-func (s *splitter) sort(raw net.Conn) {
+// classify determines the protocol of a connection by its first bytes.
+func (s *splitter) classify(raw net.Conn) {
 	c := newConn(raw)
-	_ = raw.SetReadDeadline(time.Now().Add(firstBytesWait))
-	first, err := c.reader.Peek(firstBytes)
+	_ = raw.SetReadDeadline(time.Now().Add(prefixTimeout))
+	first, err := c.reader.Peek(prefixBytes)
 	_ = raw.SetReadDeadline(time.Time{})
-	if err == nil && string(first) == hello[:firstBytes] {
+	if err == nil && string(first) == hello[:prefixBytes] {
 		s.server.serve(c)
 		return
 	}
@@ -115,20 +118,20 @@
 		return
 	}
 	select {
-	case s.others <- &peeked{Conn: raw, reader: c.reader}:
+	case s.others <- &peekedConn{Conn: raw, reader: c.reader}:
 	case err := <-s.failed:
 		s.failed <- err
 		_ = raw.Close()
 	}
 }
 
-func (p *peeked) Read(to []byte) (int, error) {
+func (p *peekedConn) Read(to []byte) (int, error) {
 	return p.reader.Read(to)
 }
 
-// serve takes the calls of one connection until it ends.
+// serve accepts the calls of one connection until it fails.
 func (s *Server) serve(c *conn) {
-	if c.greet() != nil {
+	if c.handshake() != nil {
 		_ = c.raw.Close()
 		return
 	}
@@ -138,11 +141,11 @@
 	defer s.remove(p)
 	go c.write(p.ctx)
 	if !s.add(p) {
-		p.leave()
+		p.sendGoAway()
 	}
 	var buffer []byte
 	for {
-		_ = c.raw.SetReadDeadline(time.Now().Add(silentAfter))
+		_ = c.raw.SetReadDeadline(time.Now().Add(peerReadTimeout))
 		var got frame
 		var err error
 		got, buffer, err = c.read(buffer)
@@ -172,20 +175,20 @@
 	}
 }
 
-// begin notes a call, unless this node has said that it takes no further one.
+// begin registers a call. It reports false if this node has sent a goAwayFrame.
 func (p *peer) begin(number uint32) (context.Context, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.gone {
+	if p.goAwaySent {
 		return nil, false
 	}
 	ctx, cancel := context.WithCancel(p.ctx)
-	p.last = number
+	p.lastNumber = number
 	p.calls[number] = cancel
 	return ctx, true
 }
 
-// end cancels a call and forgets it.
+// end cancels the context of a call and removes the call.
 func (p *peer) end(number uint32) {
 	p.mu.Lock()
 	cancel := p.calls[number]
@@ -208,15 +211,15 @@
 	}
 }
 
-// leave says that no further call is taken.
-func (p *peer) leave() {
+// sendGoAway tells the peer that no further call is accepted.
+func (p *peer) sendGoAway() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.gone {
+	if p.goAwaySent {
 		return
 	}
-	p.gone = true
-	_ = p.conn.send(leavingFrame, p.last, nil)
+	p.goAwaySent = true
+	_ = p.conn.send(goAwayFrame, p.lastNumber, nil)
 }
 
 func (p *peer) busy() bool {
@@ -225,8 +228,8 @@
 	return len(p.calls) > 0
 }
 
-// Close takes no further call, waits for those under way until the context ends,
-// and closes all connections.
+// Close stops accepting calls, waits for those in flight until the context ends, and
+// closes all connections.
 func (s *Server) Close(ctx context.Context) {
 	s.mu.Lock()
 	s.closed = true
@@ -236,20 +239,20 @@
 	}
 	s.mu.Unlock()
 	for _, p := range peers {
-		p.leave()
+		p.sendGoAway()
 	}
 	for _, p := range peers {
 		for p.busy() && ctx.Err() == nil {
-			time.Sleep(closePoll)
+			time.Sleep(closePollInterval)
 		}
 	}
-	time.Sleep(closePoll)
+	time.Sleep(closePollInterval)
 	for _, p := range peers {
 		p.conn.fail(errClosed)
 	}
 }
 
-// add notes a connection, and says whether calls are taken on it.
+// add registers a connection and reports whether the server accepts calls.
 func (s *Server) add(p *peer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/link/watch.go
+++ b/internal/link/watch.go
@@ -5,59 +5,61 @@
 	"time"
 )
 
-// Watch says how connections are kept.
-type Watch struct {
-	// PingAfter is how long a call may wait on a connection that brings nothing before
-	// the other side is pinged, and PingTimeout how long the answer to that may take.
+// Keepalive says when connections are pinged and when they are closed.
+type Keepalive struct {
+	// PingAfter is how long calls may be in flight with nothing arriving before the peer
+	// is pinged. PingTimeout is how long the peer may take to answer.
 	PingAfter   time.Duration
 	PingTimeout time.Duration
-	// Idle is how long a connection without calls stays open.
-	Idle time.Duration
+	// IdleTimeout is how long a connection without calls stays open.
+	IdleTimeout time.Duration
 }
 
 const (
-	// watchPeriod is the time between two looks at the connections while calls wait,
-	// and idlePeriod while none does. All connections share them: a node of a large
-	// installation has a hundred, and a timer for each would wake it all the time.
-	watchPeriod = 50 * time.Millisecond
-	idlePeriod  = 500 * time.Millisecond
+	// busyCheckPeriod is the time between two checks of all connections while calls are
+	// in flight, and idleCheckPeriod while there are none. One goroutine checks all
+	// connections: a node of a large installation has a hundred, and a timer for each
+	// would wake it all the time.
+	busyCheckPeriod = 50 * time.Millisecond
+	idleCheckPeriod = 500 * time.Millisecond
 )
 
-// run looks at the connections for as long as there are any.
-func (p *Pool) run() {
-	wait := watchPeriod
+// monitor checks the connections periodically until none is left.
+func (p *Pool) monitor() {
+	wait := busyCheckPeriod
 	for {
 		due := time.Now().Add(wait)
 		time.Sleep(wait)
-		clients := p.watched()
+		clients := p.openClients()
 		if len(clients) == 0 {
 			return
 		}
 		now := time.Now()
-		wait = idlePeriod
+		wait = idleCheckPeriod
 		for _, client := range clients {
-			if client.look(now, p.watch, now.Sub(due)) {
-				wait = watchPeriod
+			if client.checkLiveness(now, p.keepalive, now.Sub(due)) {
+				wait = busyCheckPeriod
 			}
-			if p.Silent != nil && errors.Is(client.conn.failure(), ErrSilent) {
-				p.Silent(client.address)
+			if p.OnSilent != nil && errors.Is(client.conn.failure(), ErrSilent) {
+				p.OnSilent(client.address)
 			}
 		}
 	}
 }
 
-// keep has a connection looked at until it fails.
-func (p *Pool) keep(client *Client) {
+// addClient has a connection monitored until it fails.
+func (p *Pool) addClient(client *Client) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.clients = append(p.clients, client)
 	if len(p.clients) == 1 {
-		go p.run()
+		go p.monitor()
 	}
 }
 
-// watched returns the connections that have not failed, and forgets the others.
-func (p *Pool) watched() []*Client {
+// openClients returns the connections that have not failed and drops the others from the
+// monitored ones.
+func (p *Pool) openClients() []*Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var open []*Client
@@ -70,38 +72,41 @@
 	return open
 }
 
-// look pings the other side when calls wait and nothing comes, and closes a connection
-// that stays silent or that nobody uses. It says whether calls wait. Nothing is lost by a
-// connection that is silent without a call.
-func (c *Client) look(now time.Time, watch Watch, late time.Duration) bool {
-	waiting, since := c.waiting()
-	heard := c.conn.silence()
-	silent := min(heard, now.Sub(since))
-	if heard < now.Sub(c.pinged) {
-		c.pinged = time.Time{} // the ping was answered
+// checkLiveness pings the peer when calls are in flight and nothing arrives. It closes a
+// connection that stays silent or has been idle for too long, and reports whether calls
+// are in flight. A connection without calls is not pinged, since nothing is lost if it
+// breaks. late is how much later than scheduled the check runs.
+func (c *Client) checkLiveness(now time.Time, keepalive Keepalive, late time.Duration) bool {
+	busy, since := c.callState()
+	sinceRead := c.conn.sinceLastRead()
+	silent := min(sinceRead, now.Sub(since))
+	if sinceRead < now.Sub(c.pingSentAt) {
+		c.pingSentAt = time.Time{} // the ping was answered
 	}
 	switch {
-	case !waiting:
-		if now.Sub(since) > watch.Idle {
+	case !busy:
+		if now.Sub(since) > keepalive.IdleTimeout {
 			c.conn.fail(errIdle)
 		}
-	case silent < watch.PingAfter:
-	case c.pinged.IsZero() || late >= watch.PingTimeout/2:
-		// A process that was late itself cannot tell whether the other side was.
-		_ = c.conn.send(pingFrame, firstNumber, nil)
-		c.pinged = now
-	case now.Sub(c.pinged) >= watch.PingTimeout:
+	case silent < keepalive.PingAfter:
+	case c.pingSentAt.IsZero() || late >= keepalive.PingTimeout/2:
+		// A process that was late itself cannot tell whether the peer is silent, so it
+		// pings again.
+		_ = c.conn.send(pingFrame, pingNumber, nil)
+		c.pingSentAt = now
+	case now.Sub(c.pingSentAt) >= keepalive.PingTimeout:
 		c.conn.fail(ErrSilent)
 	}
-	return waiting
+	return busy
 }
 
-// waiting says whether calls wait for an answer, and since when one or none does.
-func (c *Client) waiting() (waiting bool, since time.Time) {
+// callState reports whether calls are in flight, and since when calls or no calls have
+// been.
+func (c *Client) callState() (busy bool, since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.pending) > 0 {
 		return true, c.busySince
 	}
-	return false, c.used
+	return false, c.lastUsed
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// BenchmarkIdle measures what open connections cost on which nothing is sent
-// but pings: processor time and memory of both ends, bytes both ways.
+// BenchmarkIdle measures the cost of open connections without traffic: processor time and
+// memory of both ends, and bytes in both directions.
 func BenchmarkIdle(b *testing.B) {
 	for _, open := range []int{20, 80, 320} {
 		b.Run(fmt.Sprintf("connections=%d", open), func(b *testing.B) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// BenchmarkOpen measures an exchange that has to open its connection.
+// BenchmarkOpen measures an exchange that has to open a connection first.
 func BenchmarkOpen(b *testing.B) {
 	var wire atomic.Int64
 	_, handler := relaypbconnect.NewRelayHandler(peerServer{})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,7 @@
-// Package relay is the connection between nodes. Calls travel on links, all else by
-// connect-go, on connections that are dropped when they fall silent; the server's
-// transport settings match.
+// Package relay connects nodes with each other. Calls are sent over links; everything
+// else, and calls to nodes without links, uses connect-go over HTTP/2. Connections that
+// fall silent are dropped. The package also provides the matching transport settings of
+// the server.
 package relay
 
 import (
@@ -19,21 +20,21 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb/relaypbconnect"
 )
 
-// Client speaks to all other nodes. It keeps a transport for each of them, so
-// that a silent connection to one can be dropped without touching the others.
+// Client connects to all other nodes. It has a separate transport for each of them, so
+// that dropping a silent connection does not affect the others.
 type Client struct {
-	// From is the IP number of this host that connections go out from; nil
-	// leaves the choice to the system.
+	// From is the local IP address that connections are opened from. If it is nil, the
+	// system chooses one.
 	From net.IP
 
 	// links carry the calls.
 	links *link.Pool
 
 	mu sync.Mutex
-	// calls are pinged, so that a call on a silent connection is settled in
-	// time. Control traffic has connections of its own without pings: a node
-	// speaks to nearly everybody in turn, and at 530 nodes the pings alone
-	// would cost more than all else.
+	// calls are connections with pings, so that a call on a silent connection ends in
+	// time. Control traffic has connections of its own without pings: a node talks to
+	// nearly all other nodes in turn, and with 530 nodes the pings alone would cost more
+	// than everything else.
 	calls   map[string]*peer
 	control map[string]*peer
 }
@@ -44,44 +45,46 @@
 }
 
 const (
-	// A connection on which nothing arrives for pingAfter is pinged, and
-	// dropped when the ping is not answered within pingTimeout. Together they
-	// find a silent connection in 600 ms, whatever the kernel believes.
+	// A connection on which nothing arrives for pingAfter is pinged, and dropped when the
+	// ping is not answered within pingTimeout. Together they detect a silent connection
+	// in 600 ms, even while the kernel regards it as open.
 	pingAfter   = 300 * time.Millisecond
 	pingTimeout = 300 * time.Millisecond
-	// dialTimeout bounds the opening of a connection, which takes about 1 ms.
+	// dialTimeout limits the time to open a connection, which normally takes about 1 ms.
 	dialTimeout = 500 * time.Millisecond
-	// callIdleTimeout closes connections to nodes that are seldom called, because
-	// every open one costs pings.
+	// callIdleTimeout closes connections to nodes that are rarely called, because every
+	// open HTTP/2 connection for calls costs pings.
 	callIdleTimeout = 3 * time.Second
-	// controlIdleTimeout keeps connections over several rounds of exchange. Of 530
-	// members, two of different data centres meet every 160 s, so that a longer
-	// time mostly keeps memory for connections that are not used again.
+	// controlIdleTimeout keeps connections open over several rounds of exchange. Of 530
+	// members, any two in different data centres exchange every 160 s, so a longer
+	// timeout would mostly spend memory on connections that are not used again.
 	controlIdleTimeout = 10 * time.Second
-	// maxMessageBytes bounds one message between nodes.
+	// maxMessageBytes limits the size of one message between nodes.
 	maxMessageBytes = 16 << 20
-	// gzip is the compression that connect-go turns on by itself. A message is
-	// a few hundred bytes, and compressing it takes longer than sending it.
+	// gzip is the compression that connect-go enables by default. It is disabled here: a
+	// message is a few hundred bytes, and compressing it takes longer than sending it.
 	gzip = "gzip"
-	// streamsPerConnection is how many attempts share one connection.
+	// streamsPerConnection is the maximum number of concurrent attempts on one
+	// connection.
 	streamsPerConnection = 250
 )
 
-// NewClient returns a client without connections.
+// NewClient returns a client without open connections.
 func NewClient() *Client {
 	c := &Client{calls: map[string]*peer{}, control: map[string]*peer{}}
-	c.links = link.NewPool(c.open, link.Watch{PingAfter: pingAfter, PingTimeout: pingTimeout, Idle: callIdleTimeout})
+	c.links = link.NewPool(c.open, link.Keepalive{PingAfter: pingAfter, PingTimeout: pingTimeout, IdleTimeout: callIdleTimeout})
 	return c
 }
 
-// OnSilent has a function told of the nodes whose connections are closed since they do not
-// answer. It is called before the first call.
-func (c *Client) OnSilent(told func(address string)) {
-	c.links.Silent = told
+// OnSilent sets a function that is called with the address of a node whose connection is
+// closed because the node did not answer a ping. OnSilent must be called before the first
+// call.
+func (c *Client) OnSilent(report func(address string)) {
+	c.links.OnSilent = report
 }
 
-// Carry sends an attempt to the node at an address and waits for its answer. A node
-// that knows no links is called by connect-go.
+// Carry sends an attempt to the node at an address and waits for its response. A node
+// that does not support links is called over connect-go.
 func (c *Client) Carry(ctx context.Context, address string, request *relaypb.CarryRequest) (*relaypb.CarryResponse, error) {
 	answer, err := c.links.Carry(ctx, address, request)
 	if !errors.Is(err, link.ErrOtherProtocol) {
@@ -103,21 +106,21 @@
 	return dialer.DialContext(ctx, network, address)
 }
 
-// To returns the client for calls through the node at an address. Nothing is
-// sent yet.
+// To returns the connect-go client for calls through the node at an address. It does not
+// open a connection.
 func (c *Client) To(address string) relaypbconnect.RelayClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p, ok := c.calls[address]
 	if !ok {
-		p = c.newPeer(address, pinged(), callIdleTimeout)
+		p = c.newPeer(address, http2WithPings(), callIdleTimeout)
 		c.calls[address] = p
 	}
 	return p.client
 }
 
-// Control returns the client for all else that is asked of the node at an
-// address. Its connections are not watched; see Exchange.
+// Control returns the connect-go client for all other requests to the node at an address.
+// Its connections are not pinged; see Exchange.
 func (c *Client) Control(address string) relaypbconnect.RelayClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,8 +132,8 @@
 	return p.client
 }
 
-// Exchange swaps membership news with the node at an address. When it fails,
-// the connection may be silent, so that the next exchange opens another one.
+// Exchange swaps membership updates with the node at an address. If it fails, the
+// connection may be silent, so it is dropped and the next exchange opens another one.
 func (c *Client) Exchange(ctx context.Context, address string, request *relaypb.ExchangeRequest) (*relaypb.ExchangeResponse, error) {
 	response, err := c.Control(address).Exchange(ctx, connect.NewRequest(request))
 	if err != nil {
@@ -140,7 +143,7 @@
 	return response.Msg, nil
 }
 
-// Drop forgets the control connections to an address.
+// Drop discards the control client of an address and closes its idle connections.
 func (c *Client) Drop(address string) {
 	c.mu.Lock()
 	p := c.control[address]
@@ -151,23 +154,25 @@
 	}
 }
 
-// NeverSent says whether an error proves that the other node took nothing of the call,
-// for instance since the connection could not be opened at all.
+// NeverSent reports whether an error proves that the other node did not accept the call,
+// for instance because the connection could not be opened.
 func NeverSent(err error) bool {
-	if errors.Is(err, link.ErrNeverTaken) {
+	if errors.Is(err, link.ErrNotAccepted) {
 		return true
 	}
 	var dial *net.OpError
 	return errors.As(err, &dial) && dial.Op == "dial"
 }
 
-// TooLarge says whether an error means that the message is larger than one between
-// nodes may be.
+// TooLarge reports whether an error means that a message exceeds the size limit of
+// messages between nodes.
 func TooLarge(err error) bool {
 	return errors.Is(err, link.ErrTooLarge) || connect.CodeOf(err) == connect.CodeResourceExhausted
 }
 
-// JoinIncarnation names a process of a target together with the node beside it.
+// JoinIncarnation returns the name of a process of a target together with the node beside
+// it: the incarnation of the node and the ID of the target's process, or the former alone
+// if the latter is empty.
 func JoinIncarnation(node, target string) string {
 	if target == "" {
 		return node
@@ -175,33 +180,33 @@
 	return node + "/" + target
 }
 
-// SplitIncarnation is the reverse of JoinIncarnation.
+// SplitIncarnation is the inverse of JoinIncarnation.
 func SplitIncarnation(incarnation string) (node, target string) {
 	node, target, _ = strings.Cut(incarnation, "/")
 	return node, target
 }
 
-// HTTP2 returns the settings of a server, and of connections without pings.
+// HTTP2 returns the HTTP/2 settings of a server, and of connections without pings.
 func HTTP2() *http.HTTP2Config {
 	return &http.HTTP2Config{MaxConcurrentStreams: streamsPerConnection}
 }
 
-// pinged returns the settings of a connection for calls.
-func pinged() *http.HTTP2Config {
+// http2WithPings returns the HTTP/2 settings of a connection for calls.
+func http2WithPings() *http.HTTP2Config {
 	settings := HTTP2()
 	settings.SendPingTimeout = pingAfter
 	settings.PingTimeout = pingTimeout
 	return settings
 }
 
-// Protocols returns the one protocol between nodes: HTTP/2 without TLS.
+// Protocols returns the only protocol that nodes accept over HTTP: HTTP/2 without TLS.
 func Protocols() *http.Protocols {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	return protocols
 }
 
-// HandlerOptions returns the options of the server's side.
+// HandlerOptions returns the connect-go options of the server.
 func HandlerOptions() []connect.HandlerOption {
 	return []connect.HandlerOption{connect.WithCompression(gzip, nil, nil)}
 }
@@ -212,7 +217,7 @@
 		Protocols:       Protocols(),
 		HTTP2:           settings,
 		IdleConnTimeout: idleTimeout,
-		// The other node compresses nothing, so nothing is asked for.
+		// Servers do not compress, so compression is not requested.
 		DisableCompression: true,
 	}
 	client := relaypbconnect.NewRelayClient(
