--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -8,102 +8,106 @@
 )
 
 type (
-	// Client keeps connections to one server. Its fields are set before the first
+	// Client keeps connections to one server. Its fields must be set before the first
 	// call; its methods are safe for concurrent use.
 	Client struct {
 		Address string
 		// Dial opens a connection.
 		Dial func(ctx context.Context, network, address string) (net.Conn, error)
-		// IdleTimeout is how long a connection without a call is kept.
+		// IdleTimeout is how long a connection without a call is kept open.
 		IdleTimeout time.Duration
 
-		// busy holds a token for each call that has a connection.
-		busy chan struct{}
+		// slots holds one element for each call that has a connection.
+		slots chan struct{}
 
 		mu sync.Mutex
-		// idle holds the connections without a call, the last used one at the end.
+		// idle holds the connections without a call, the most recently used one last.
 		idle   []*conn
 		closed bool
-		// sweep closes idle connections in time; nil while there are none.
-		sweep *time.Timer
+		// sweepTimer runs closeExpired. It is nil until a connection becomes idle, and
+		// again after a run that left none.
+		sweepTimer *time.Timer
 	}
 
-	// Call is one request that has been sent, until it is closed.
+	// Call is one request and its response. It must be closed.
 	Call struct {
-		Answer Answer
+		Answer Response
 		// Sent is set once a byte of the request may have reached the server.
 		Sent bool
-		// Err is why there is no answer, nil if there is one.
+		// Err says why there is no response, nil if there is one.
 		Err error
 
 		client  *Client
 		conn    *conn
 		request *Request
 		body    body
-		// unwatch ends the watch on the context, and says whether it had not ended yet.
-		unwatch func() bool
-		// written is closed when a request that is written aside is out.
+		// stopWatch stops watching the context and reports whether the context had not
+		// ended yet.
+		stopWatch func() bool
+		// written is closed once a request that is written by another goroutine has been
+		// written completely; nil for requests written by the caller.
 		written chan struct{}
-		failed  bool
+		noReuse bool
 	}
 )
 
-// New returns a client that opens so many connections at most; 0 sets no bound.
+// New returns a client that has at most the given number of connections open at a time; 0
+// sets no limit.
 func New(address string, connections int, idleTimeout time.Duration, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	if connections <= 0 {
-		connections = unbounded
+		connections = noConnectionLimit
 	}
-	return &Client{Address: address, Dial: dial, IdleTimeout: idleTimeout, busy: make(chan struct{}, connections)}
+	return &Client{Address: address, Dial: dial, IdleTimeout: idleTimeout, slots: make(chan struct{}, connections)}
 }
 
-// Close closes the idle connections, and those of calls when they end.
+// Close closes the idle connections. Connections in use are closed when their calls end.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
 	idle := c.idle
 	c.idle = nil
-	if c.sweep != nil {
-		c.sweep.Stop()
+	if c.sweepTimer != nil {
+		c.sweepTimer.Stop()
 	}
 	c.mu.Unlock()
-	for _, one := range idle {
-		one.close()
+	for _, idleConn := range idle {
+		idleConn.close()
 	}
 }
 
-// Do sends a request and reads the head of its answer. The call has to be closed, also
-// where it has no answer.
+// Do sends a request and reads the head of its response. The call must be closed even if
+// it failed.
 func (c *Client) Do(ctx context.Context, request *Request) *Call {
 	call := &Call{client: c, request: request}
-	if call.Err = c.begin(ctx, call); call.Err != nil {
+	if call.Err = c.acquire(ctx, call); call.Err != nil {
 		return call
 	}
-	call.watch(ctx)
+	call.watchContext(ctx)
 	call.Err = call.exchange()
-	call.failed = call.Err != nil
+	call.noReuse = call.Err != nil
 	return call
 }
 
-// begin gives a call its connection.
-func (c *Client) begin(ctx context.Context, call *Call) error {
+// acquire waits for a slot and gives the call a connection.
+func (c *Client) acquire(ctx context.Context, call *Call) error {
 	if !call.request.sendable() {
 		return ErrUnsendable
 	}
 	select {
-	case c.busy <- struct{}{}:
+	case c.slots <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	used, err := c.connect(ctx, call.request.ID)
 	if err != nil {
-		<-c.busy
+		<-c.slots
 		return err
 	}
 	call.conn = used
 	return nil
 }
 
-// connect returns the idle connection that was used last and may carry the request, or a
+// connect returns the most recently used idle connection that may carry the request, or a
 // new one.
 func (c *Client) connect(ctx context.Context, id string) (*conn, error) {
 	for {
@@ -111,12 +115,12 @@
 		if used == nil {
 			break
 		}
-		if used.quiet() {
+		if used.stillIdle() {
 			return used, nil
 		}
 		used.close()
 	}
-	c.makeRoom()
+	c.evictIdle()
 	raw, err := c.Dial(ctx, "tcp", c.Address)
 	if err != nil {
 		return nil, err
@@ -124,35 +128,36 @@
 	return newConn(raw, c.IdleTimeout), nil
 }
 
-// takeIdle takes out an idle connection on which the request was not refused before: a
-// faulty server may write an earlier refusal once more.
+// takeIdle removes and returns an idle connection on which the request was not refused
+// before: a faulty server may send an earlier refusal again.
 func (c *Client) takeIdle(id string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	for i := len(c.idle) - 1; i >= 0; i-- {
-		one := c.idle[i]
-		if now.After(one.idleUntil) || one.hasRefused(id) {
+		candidate := c.idle[i]
+		if now.After(candidate.idleUntil) || candidate.hasRefused(id) {
 			continue
 		}
 		c.idle = append(c.idle[:i], c.idle[i+1:]...)
-		return one
+		return candidate
 	}
 	return nil
 }
 
-// makeRoom closes the idle connections that would be too many beside a new one.
-func (c *Client) makeRoom() {
+// evictIdle closes the least recently used idle connections that would exceed the limit
+// together with a new one.
+func (c *Client) evictIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.idle) > 0 && len(c.idle)+len(c.busy) > cap(c.busy) {
+	for len(c.idle) > 0 && len(c.idle)+len(c.slots) > cap(c.slots) {
 		c.idle[0].close()
 		c.idle = append(c.idle[:0], c.idle[1:]...)
 	}
 }
 
-// put keeps a connection for further calls.
-func (c *Client) put(used *conn) {
+// putIdle keeps a connection for further calls.
+func (c *Client) putIdle(used *conn) {
 	now := time.Now()
 	used.idleUntil = now.Add(used.idleFor)
 	used.release()
@@ -163,52 +168,52 @@
 		return
 	}
 	c.idle = append(c.idle, used)
-	if c.sweep == nil {
-		c.sweep = time.AfterFunc(c.IdleTimeout, c.closeExpired)
+	if c.sweepTimer == nil {
+		c.sweepTimer = time.AfterFunc(c.IdleTimeout, c.closeExpired)
 	}
 }
 
-// closeExpired closes the connections that have been idle for too long, and comes again
-// while there are others.
+// closeExpired closes the connections that have been idle for too long, and schedules its
+// next run while others are idle.
 func (c *Client) closeExpired() {
 	now := time.Now()
 	var expired []*conn
 	c.mu.Lock()
 	kept := c.idle[:0]
-	for _, one := range c.idle {
-		if now.After(one.idleUntil) {
-			expired = append(expired, one)
+	for _, idleConn := range c.idle {
+		if now.After(idleConn.idleUntil) {
+			expired = append(expired, idleConn)
 			continue
 		}
-		kept = append(kept, one)
+		kept = append(kept, idleConn)
 	}
 	clear(c.idle[len(kept):])
 	c.idle = kept
 	if len(kept) > 0 {
-		c.sweep.Reset(c.IdleTimeout)
+		c.sweepTimer.Reset(c.IdleTimeout)
 	} else {
-		c.sweep = nil
+		c.sweepTimer = nil
 	}
 	c.mu.Unlock()
-	for _, one := range expired {
-		one.close()
+	for _, idleConn := range expired {
+		idleConn.close()
 	}
 }
 
-// watch ends the call's reading and writing when the context ends. A connection on which
-// that happened is not used again, so that no other deadline is ever set.
-func (c *Call) watch(ctx context.Context) {
+// watchContext interrupts the call's reads and writes when the context ends. A connection
+// on which that happened is not used again, so the deadline never has to be reset.
+func (c *Call) watchContext(ctx context.Context) {
 	raw := c.conn.raw
-	c.unwatch = context.AfterFunc(ctx, func() { _ = raw.SetDeadline(time.Unix(1, 0)) })
+	c.stopWatch = context.AfterFunc(ctx, func() { _ = raw.SetDeadline(time.Unix(1, 0)) })
 }
 
-// exchange writes the request and reads the head of its answer.
+// exchange writes the request and reads the head of its response.
 func (c *Call) exchange() error {
-	message := takeMessage()
-	message.write(c.request)
-	if len(message.bytes) <= asideBytes {
-		n, err := c.conn.raw.Write(message.bytes)
-		message.keep()
+	buffer := getBuffer()
+	buffer.encode(c.request)
+	if len(buffer.bytes) <= asyncWriteBytes {
+		n, err := c.conn.raw.Write(buffer.bytes)
+		buffer.recycle()
 		c.Sent = n > 0
 		if err != nil {
 			return err
@@ -219,8 +224,8 @@
 	c.written = make(chan struct{})
 	raw, written := c.conn.raw, c.written
 	go func() {
-		// A request that is not out whole is noticed when its answer ends.
-		if _, err := raw.Write(message.bytes); err == nil {
+		// An incomplete write is detected by requestWritten when the call is closed.
+		if _, err := raw.Write(buffer.bytes); err == nil {
 			close(written)
 		}
 	}()
@@ -228,25 +233,25 @@
 }
 
 func (c *Call) readHead() error {
-	answer, err := c.conn.readAnswer()
+	answer, err := c.conn.readResponse()
 	if err != nil {
 		return err
 	}
 	c.Answer = answer
-	c.body, err = c.conn.bodyOf(c.request.Method, answer)
+	c.body, err = c.conn.newBody(c.request.Method, answer)
 	return err
 }
 
-// Read reads from the body. It returns io.EOF only behind a whole one.
+// Read reads from the body. It returns io.EOF only after a complete body.
 func (c *Call) Read(p []byte) (int, error) {
 	n, err := c.body.Read(p)
 	if err != nil && !c.body.ended {
-		c.failed = true
+		c.noReuse = true
 	}
 	return n, err
 }
 
-// BodyLength returns how long the body is, -1 if that is not known yet.
+// BodyLength returns the length of the body, -1 if it is not known in advance.
 func (c *Call) BodyLength() int64 {
 	if c.body.ended {
 		return 0
@@ -254,41 +259,42 @@
 	return c.Answer.Length
 }
 
-// Refused notes that the answer says that the server did not run the request, and
-// whether it names the request. The same bytes may come once more: so the request does
-// not use the connection again, and after an unnamed refusal nobody does.
+// Refused records that the server refused the request without running it, and whether the
+// response names the request. A faulty server may send the same refusal again, so the
+// connection does not carry this request again, and no request at all after a refusal
+// that does not name its request.
 func (c *Call) Refused(named bool) {
 	if !named || c.request.ID == "" {
-		c.failed = true
+		c.noReuse = true
 		return
 	}
 	c.conn.refused = append(c.conn.refused, c.request.ID)
 }
 
-// Discard keeps the connection from being used again.
+// Discard prevents the connection from being reused.
 func (c *Call) Discard() {
-	c.failed = true
+	c.noReuse = true
 }
 
-// Close ends the call. Its connection is used again if the answer was read to its end and
-// nothing speaks against it.
+// Close ends the call. The connection is reused if the response was read to its end, the
+// request was written completely and neither side has ruled out reuse.
 func (c *Call) Close() {
 	if c.conn == nil {
 		return
 	}
-	intact := c.unwatch()
-	reusable := intact && !c.failed && c.body.ended && c.conn.reusable(c.Answer) && c.out()
+	intact := c.stopWatch()
+	reusable := intact && !c.noReuse && c.body.ended && c.conn.reusable(c.Answer) && c.requestWritten()
 	if reusable {
-		c.client.put(c.conn)
+		c.client.putIdle(c.conn)
 	} else {
 		c.conn.close()
 	}
 	c.conn = nil
-	<-c.client.busy
+	<-c.client.slots
 }
 
-// out says whether the whole request is written.
-func (c *Call) out() bool {
+// requestWritten reports whether the whole request has been written.
+func (c *Call) requestWritten() bool {
 	if c.written == nil {
 		return true
 	}
--- a/internal/http1/client_test.go
+++ b/internal/http1/client_test.go
@@ -20,11 +20,12 @@
 	"github.com/dandelionfield/dandelionfield/internal/http1"
 )
 
-// server speaks by a script on each connection.
+// server runs a script on each connection.
 type server struct {
 	listener net.Listener
 	opened   atomic.Int32
-	// ended counts the connections that the client has closed.
+	// ended counts the connections whose script has returned, for instance because the
+	// client closed them.
 	ended atomic.Int32
 }
 
@@ -59,7 +60,8 @@
 	return client
 }
 
-// answers reads requests and writes the same answer to each of them.
+// answers returns a script that reads requests and writes the same response to each of
+// them.
 func answers(text string) func(s *server, conn net.Conn, reader *bufio.Reader) {
 	return func(_ *server, conn net.Conn, reader *bufio.Reader) {
 		for {
@@ -94,8 +96,8 @@
 	return string(body), err
 }
 
-// TestAnswers reads what a server sends, and says what is taken from it and whether the
-// connection is used for the next call.
+// TestAnswers sends the responses of testdata/answers and checks how each is read and
+// whether the connection is reused for the next call.
 func TestAnswers(t *testing.T) {
 	datadriven.RunTest(t, "testdata/answers", func(t *testing.T, d *datadriven.TestData) string {
 		text := strings.ReplaceAll(strings.ReplaceAll(d.Input, "\n", ""), `\n`, "\r\n")
@@ -133,7 +135,7 @@
 	})
 }
 
-// A request is written as it is given, in one piece.
+// A request is written in one piece and its fields are unchanged.
 func TestRequestOnTheWire(t *testing.T) {
 	is := is.New(t)
 	got := make(chan string, 1)
@@ -148,8 +150,8 @@
 	is.Equal(<-got, "POST /a%2Fb?c HTTP/1.1\r\nHost: shop\r\nx-y: z\r\nContent-Length: 4\r\n\r\nrope")
 }
 
-// A line that would end within itself is a request of its own for the server, so that
-// nothing is sent.
+// A line break within a field or the start line would let the server see a second
+// request, so such a request must not be sent.
 func TestRequestThatWouldBreakItsLinesIsNotSent(t *testing.T) {
 	is := is.New(t)
 	s := serve(t, answers(ok))
@@ -170,8 +172,8 @@
 	is.Equal(s.opened.Load(), int32(0))
 }
 
-// A connection that the server has closed, or on which it has written something that
-// nobody asked for, is not used again.
+// An idle connection must not be reused if the server has closed it or has sent bytes
+// without a request.
 func TestIdleConnectionIsLookedAtBeforeUse(t *testing.T) {
 	for name, ending := range map[string]string{"closed": "", "extra bytes": ok} {
 		t.Run(name, func(t *testing.T) {
@@ -187,7 +189,7 @@
 					if !first {
 						continue
 					}
-					time.Sleep(20 * time.Millisecond) // the answer has been read
+					time.Sleep(20 * time.Millisecond) // the client has read the response by then
 					_, _ = io.WriteString(conn, ending)
 					if ending == "" {
 						_ = conn.Close()
@@ -209,8 +211,8 @@
 	}
 }
 
-// The server says for how long it keeps an idle connection; one that is about to lapse is
-// not used.
+// The timeout of the server's Keep-Alive field limits how long an idle connection is
+// used. A connection that is about to time out is not used.
 func TestKeepAliveOfTheServerIsHeeded(t *testing.T) {
 	is := is.New(t)
 	s := serve(t, answers("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1, max=9\r\nContent-Length: 0\r\n\r\n"))
@@ -222,7 +224,8 @@
 	is.Equal(s.opened.Load(), int32(2))
 }
 
-// A server may answer before it has read a long body, and reads on later.
+// A server may respond before it has read a long body and read the rest later. The
+// connection must not carry another request then.
 func TestAnswerBeforeALongBodyIsRead(t *testing.T) {
 	is := is.New(t)
 	rest := make(chan int64, 1)
@@ -245,7 +248,7 @@
 	body, err := take(client, long)
 	is.NoErr(err)
 	is.Equal(body, "ok")
-	body, err = take(client, get()) // nothing else goes out where the rest of the body is due
+	body, err = take(client, get()) // needs a second connection
 	is.NoErr(err)
 	is.Equal(body, "ok")
 	is.Equal(s.opened.Load(), int32(2))
@@ -253,7 +256,7 @@
 	is.True(<-rest <= 32<<20)
 }
 
-// A call that is given up ends its connection at once, and is no answer.
+// A cancelled call closes its connection at once and has no response.
 func TestCancelledCallEndsItsConnection(t *testing.T) {
 	is := is.New(t)
 	began := make(chan struct{})
@@ -277,7 +280,7 @@
 	}
 }
 
-// No more connections are open than the server takes, whatever is asked at once.
+// The number of open connections stays within the limit under concurrent calls.
 func TestConnectionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	s := serve(t, answers(ok))
@@ -298,7 +301,7 @@
 	is.True(s.opened.Load() <= 3)
 }
 
-// A server that can't be connected to has not been reached.
+// A call that cannot connect reports that nothing was sent.
 func TestNothingIsSentWithoutAConnection(t *testing.T) {
 	is := is.New(t)
 	s := serve(t, answers(ok))
@@ -309,7 +312,8 @@
 	is.True(!call.Sent)
 }
 
-// Until the connections of a target are declared, calls do not wait for each other.
+// Calls do not wait for each other while no limit on the target's connections is
+// declared.
 func TestNoBoundOnConnections(t *testing.T) {
 	is := is.New(t)
 	var begun sync.WaitGroup
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -15,41 +15,43 @@
 )
 
 type (
-	// conn is one connection. One call at a time uses it.
+	// conn is one connection, which carries one call at a time.
 	conn struct {
 		raw net.Conn
-		// probe reads without waiting; nil where the connection has no descriptor.
-		// look is what it calls, and silent what that found.
-		probe  syscall.RawConn
-		look   func(descriptor uintptr) bool
-		silent bool
+		// rawConn is used to read without blocking; nil if the connection has no file
+		// descriptor. readProbe is the probe method as a function value, and wouldBlock
+		// its result.
+		rawConn    syscall.RawConn
+		readProbe  func(descriptor uintptr) bool
+		wouldBlock bool
 		// reader is nil while the connection is idle.
 		reader *bufio.Reader
-		// refused are the requests that were refused on this connection.
+		// refused are the IDs of the requests that were refused on this connection.
 		refused   []string
 		idleFor   time.Duration
 		idleUntil time.Time
 	}
 
-	// body reads the body of an answer.
+	// body reads the body of a response.
 	body struct {
 		conn *conn
-		// left is how much of the body, or of the chunk, is to come.
-		left    int64
-		chunked bool
-		// toClose is set for a body that ends with the connection.
-		toClose bool
-		// first is set until the first chunk has begun.
-		first bool
-		ended bool
+		// remaining is the number of bytes of the body, or of the current chunk, still to
+		// be read.
+		remaining int64
+		chunked   bool
+		// untilClose is set for a body that ends when the connection is closed.
+		untilClose bool
+		// firstChunk is set until the first chunk has been reached.
+		firstChunk bool
+		ended      bool
 	}
 )
 
 var (
-	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBytes) }}
+	readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferBytes) }}
 
-	// emptyLine ends a head, behind the end of the line before it; some servers leave
-	// out the carriage return.
+	// emptyLine ends a head, together with the line break before it. Some servers leave
+	// out the carriage returns.
 	emptyLine     = []byte("\n\r\n")
 	bareEmptyLine = []byte("\n\n")
 )
@@ -57,9 +59,9 @@
 func newConn(raw net.Conn, idleFor time.Duration) *conn {
 	c := &conn{raw: raw, idleFor: idleFor}
 	if withDescriptor, ok := raw.(syscall.Conn); ok {
-		if probe, err := withDescriptor.SyscallConn(); err == nil {
-			c.probe = probe
-			c.look = c.peek
+		if rawConn, err := withDescriptor.SyscallConn(); err == nil {
+			c.rawConn = rawConn
+			c.readProbe = c.probe
 		}
 	}
 	return c
@@ -70,13 +72,13 @@
 	_ = c.raw.Close()
 }
 
-// release gives back the reader.
+// release returns the reader to the pool.
 func (c *conn) release() {
 	if c.reader == nil {
 		return
 	}
 	c.reader.Reset(nil)
-	readers.Put(c.reader)
+	readerPool.Put(c.reader)
 	c.reader = nil
 }
 
@@ -84,28 +86,28 @@
 	return len(c.refused) > 0 && slices.Contains(c.refused, id)
 }
 
-// quiet says whether an idle connection is open and has brought nothing. Bytes that came
-// before a request was written belong to no request.
-func (c *conn) quiet() bool {
-	if c.probe == nil {
+// stillIdle reports whether an idle connection is open and has received nothing. Bytes
+// that arrive before a request is written belong to no request.
+func (c *conn) stillIdle() bool {
+	if c.rawConn == nil {
 		return true
 	}
-	c.silent = false
-	err := c.probe.Read(c.look)
-	return err == nil && c.silent
+	c.wouldBlock = false
+	err := c.rawConn.Read(c.readProbe)
+	return err == nil && c.wouldBlock
 }
 
-// peek reads a byte if there is one.
-func (c *conn) peek(descriptor uintptr) bool {
+// probe tries to read one byte without blocking.
+func (c *conn) probe(descriptor uintptr) bool {
 	var one [1]byte
 	_, err := syscall.Read(int(descriptor), one[:])
-	c.silent = errors.Is(err, syscall.EAGAIN)
+	c.wouldBlock = errors.Is(err, syscall.EAGAIN)
 	return true
 }
 
-// reusable says whether a further request may be sent after an answer that was read to
+// reusable reports whether another request may be sent after a response that was read to
 // its end.
-func (c *conn) reusable(answer Answer) bool {
+func (c *conn) reusable(answer Response) bool {
 	if c.reader.Buffered() > 0 || len(c.refused) > maxRefused {
 		return false
 	}
@@ -116,14 +118,15 @@
 				return false
 			}
 		case strings.EqualFold(field.Name, "Keep-Alive"):
-			c.keepAlive(field.Value)
+			c.applyKeepAlive(field.Value)
 		}
 	}
 	return c.idleFor > 0
 }
 
-// keepAlive takes in for how long the server keeps an idle connection.
-func (c *conn) keepAlive(value string) {
+// applyKeepAlive shortens idleFor to the time for which the server keeps an idle
+// connection, less idleMargin.
+func (c *conn) applyKeepAlive(value string) {
 	for part := range strings.SplitSeq(value, ",") {
 		name, text, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -144,41 +147,41 @@
 	return false
 }
 
-// readAnswer reads the head of the final answer, behind interim ones.
-func (c *conn) readAnswer() (Answer, error) {
+// readResponse reads the head of the final response and skips interim ones.
+func (c *conn) readResponse() (Response, error) {
 	if c.reader == nil {
-		c.reader = readers.Get().(*bufio.Reader)
+		c.reader = readerPool.Get().(*bufio.Reader)
 		c.reader.Reset(c.raw)
 	}
-	left := maxHeadBytes
+	remaining := maxHeadBytes
 	for {
-		head, err := c.readHead(&left)
+		head, err := c.readHead(&remaining)
 		if err != nil {
-			return Answer{}, err
+			return Response{}, err
 		}
 		answer, err := parseHead(head)
 		if err != nil {
-			return Answer{}, err
+			return Response{}, err
 		}
 		if answer.Status >= 200 {
 			return answer, nil
 		}
 		if answer.Status == 101 {
-			return Answer{}, ErrMalformed // nobody asked for another protocol
+			return Response{}, ErrMalformed // the request has no Upgrade field
 		}
 	}
 }
 
-// readHead reads up to the empty line that ends a head, and returns it without that line.
-func (c *conn) readHead(left *int) (string, error) {
-	if head, ok := c.bufferedHead(left); ok {
+// readHead reads a head up to and including the empty line that ends it.
+func (c *conn) readHead(remaining *int) (string, error) {
+	if head, ok := c.bufferedHead(remaining); ok {
 		return head, nil
 	}
 	var head []byte
 	for {
 		line, err := c.reader.ReadSlice('\n')
-		*left -= len(line)
-		if *left < 0 {
+		*remaining -= len(line)
+		if *remaining < 0 {
 			return "", ErrHeadTooLong
 		}
 		head = append(head, line...)
@@ -186,7 +189,7 @@
 			continue
 		}
 		if err != nil {
-			return "", unexpected(err)
+			return "", unexpectedEOF(err)
 		}
 		if endsHead(head) {
 			return string(head), nil
@@ -194,37 +197,38 @@
 	}
 }
 
-// bufferedHead returns a head that came in one piece, as nearly all do, without copying
-// it line by line.
-func (c *conn) bufferedHead(left *int) (string, bool) {
+// bufferedHead returns a head that is in the buffer as a whole, as nearly all are,
+// without copying it line by line.
+func (c *conn) bufferedHead(remaining *int) (string, bool) {
 	if _, err := c.reader.Peek(1); err != nil {
 		return "", false
 	}
-	come, _ := c.reader.Peek(c.reader.Buffered())
-	end := bytes.Index(come, emptyLine)
-	if end < 0 || end+len(emptyLine) > *left || bytes.Contains(come[:end+1], bareEmptyLine) {
+	buffered, _ := c.reader.Peek(c.reader.Buffered())
+	end := bytes.Index(buffered, emptyLine)
+	if end < 0 || end+len(emptyLine) > *remaining || bytes.Contains(buffered[:end+1], bareEmptyLine) {
 		return "", false
 	}
-	head := string(come[:end+len(emptyLine)])
-	*left -= len(head)
+	head := string(buffered[:end+len(emptyLine)])
+	*remaining -= len(head)
 	_, _ = c.reader.Discard(len(head))
 	return head, true
 }
 
-// endsHead says whether the last line is empty.
+// endsHead reports whether the last line is empty.
 func endsHead(head []byte) bool {
 	return bytes.HasSuffix(head, emptyLine) || bytes.HasSuffix(head, bareEmptyLine)
 }
 
-func unexpected(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// bodyOf says where the body of an answer ends.
-func (c *conn) bodyOf(method string, answer Answer) (body, error) {
+// newBody returns the reader of the response's body, which determines where the body
+// ends.
+func (c *conn) newBody(method string, answer Response) (body, error) {
 	b := body{conn: c}
 	switch {
 	case method == "HEAD", answer.Status == 204, answer.Status == 304:
@@ -235,14 +239,14 @@
 			return b, ErrMalformed
 		}
 		b.chunked = true
-		b.first = true
+		b.firstChunk = true
 		return b, nil
 	case answer.Length >= 0:
-		b.left = answer.Length
-		b.ended = b.left == 0
+		b.remaining = answer.Length
+		b.ended = b.remaining == 0
 		return b, nil
 	}
-	b.toClose = true
+	b.untilClose = true
 	return b, nil
 }
 
@@ -266,7 +270,7 @@
 	if len(p) == 0 {
 		return 0, nil
 	}
-	if b.toClose {
+	if b.untilClose {
 		n, err := b.conn.reader.Read(p)
 		if errors.Is(err, io.EOF) {
 			// The connection has ended with the body and carries nothing further.
@@ -275,32 +279,32 @@
 		}
 		return n, err
 	}
-	if b.chunked && b.left == 0 {
+	if b.chunked && b.remaining == 0 {
 		if err := b.nextChunk(); err != nil {
 			return 0, err
 		}
 	}
-	if int64(len(p)) > b.left {
-		p = p[:b.left]
+	if int64(len(p)) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.conn.reader.Read(p)
-	b.left -= int64(n)
-	if b.left == 0 && !b.chunked {
+	b.remaining -= int64(n)
+	if b.remaining == 0 && !b.chunked {
 		b.ended = true
 		return n, nil
 	}
-	return n, unexpected(err)
+	return n, unexpectedEOF(err)
 }
 
-// nextChunk reads the line before a chunk, and behind the last one the trailer, after
-// which it returns io.EOF.
+// nextChunk reads the line before a chunk. After the last chunk it reads the trailer
+// section and returns io.EOF.
 func (b *body) nextChunk() error {
-	if !b.first {
+	if !b.firstChunk {
 		if line, err := b.line(); err != nil || line != "" {
 			return orMalformed(err)
 		}
 	}
-	b.first = false
+	b.firstChunk = false
 	line, err := b.line()
 	if err != nil {
 		return err
@@ -311,10 +315,10 @@
 		return ErrMalformed
 	}
 	if length > 0 {
-		b.left = int64(length)
+		b.remaining = int64(length)
 		return nil
 	}
-	for left := maxHeadBytes; left > 0; left -= len(line) + 2 {
+	for remaining := maxHeadBytes; remaining > 0; remaining -= len(line) + 2 {
 		if line, err = b.line(); err != nil {
 			return err
 		}
@@ -333,14 +337,14 @@
 	return ErrMalformed
 }
 
-// line reads one line without its end.
+// line reads one line and returns it without its line break.
 func (b *body) line() (string, error) {
 	line, err := b.conn.reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || len(line) > maxLineBytes {
 		return "", ErrMalformed
 	}
 	if err != nil {
-		return "", unexpected(err)
+		return "", unexpectedEOF(err)
 	}
 	return string(bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))), nil
 }
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A head that is taken is one for net/http too, with the same status and length: the
-// client is the stricter one.
+// The client must be stricter than net/http: a head that it accepts is valid for net/http
+// too, with the same status and length.
 func FuzzHead(f *testing.F) {
 	for _, head := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX: y\r\n\r\n",
@@ -30,7 +30,7 @@
 		}
 		response, err := http.ReadResponse(bufio.NewReader(strings.NewReader(head)), nil)
 		if err != nil {
-			t.Fatalf("%q was taken: %v", head, err)
+			t.Fatalf("%q was accepted, but net/http rejects it: %v", head, err)
 		}
 		defer func() { _ = response.Body.Close() }()
 		if response.StatusCode != answer.Status {
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -5,10 +5,11 @@
 	"strings"
 )
 
-// parseHead reads a head with its lines' ends. Names and values are parts of one text.
-func parseHead(head string) (Answer, error) {
+// parseHead parses a head including its line breaks. The names and values are substrings
+// of the head.
+func parseHead(head string) (Response, error) {
 	line, rest := cutLine(head)
-	answer := Answer{Length: -1}
+	answer := Response{Length: -1}
 	var err error
 	if answer.Status, err = parseStatus(line); err != nil {
 		return answer, err
@@ -24,7 +25,7 @@
 			return answer, err
 		}
 		if strings.EqualFold(field.Name, "Content-Length") {
-			if err := answer.takeLength(field.Value); err != nil {
+			if err := answer.setLength(field.Value); err != nil {
 				return answer, err
 			}
 		}
@@ -50,8 +51,9 @@
 	return status, nil
 }
 
-// parseField reads one line. A line that begins with a space would go on from the one
-// before, which nobody sends any more and receivers may refuse.
+// parseField parses one field line. A line that begins with a space, the obsolete folding
+// of a value over several lines, is malformed: no sender uses it any more, and receivers
+// may reject it.
 func parseField(line string) (Field, error) {
 	name, value, found := strings.Cut(line, ":")
 	if !found || !isToken(name) {
@@ -73,7 +75,7 @@
 	return text != ""
 }
 
-// tokenBytes are the bytes that a name of a field is made of.
+// tokenBytes are the bytes allowed in a field name.
 var tokenBytes = func() (set [256]bool) {
 	const all = "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
 	for i := range len(all) {
@@ -82,9 +84,9 @@
 	return set
 }()
 
-// takeLength takes in an announced length. Two that differ leave open where the answer
-// ends.
-func (a *Answer) takeLength(text string) error {
+// setLength sets the announced length. Two lengths that differ are malformed, since they
+// leave open where the response ends.
+func (a *Response) setLength(text string) error {
 	length, err := strconv.ParseUint(text, 10, 63)
 	if err != nil || a.Length >= 0 && a.Length != int64(length) {
 		return ErrMalformed
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -5,56 +5,57 @@
 	"sync"
 )
 
-// message is a request as it goes on the wire.
-type message struct {
+// requestBuffer holds a request in wire format.
+type requestBuffer struct {
 	bytes []byte
 }
 
-// keptBytes is the largest buffer that is kept for further requests.
-const keptBytes = 16 << 10
+// maxRecycledBytes is the largest buffer that is kept for further requests.
+const maxRecycledBytes = 16 << 10
 
-var messages = sync.Pool{New: func() any { return &message{} }}
+var bufferPool = sync.Pool{New: func() any { return &requestBuffer{} }}
 
-func takeMessage() *message {
-	return messages.Get().(*message)
+func getBuffer() *requestBuffer {
+	return bufferPool.Get().(*requestBuffer)
 }
 
-// keep lets the buffer be used again unless it has grown large.
-func (m *message) keep() {
-	if cap(m.bytes) <= keptBytes {
-		messages.Put(m)
+// recycle returns the buffer to the pool unless it has grown too large.
+func (b *requestBuffer) recycle() {
+	if cap(b.bytes) <= maxRecycledBytes {
+		bufferPool.Put(b)
 	}
 }
 
-// write replaces what is held by a request.
-func (m *message) write(request *Request) {
-	m.bytes = m.bytes[:0]
-	m.add(request.Method, " ", request.Target, " HTTP/1.1\r\nHost: ", request.Host, "\r\n")
+// encode replaces the contents of the buffer with a request.
+func (b *requestBuffer) encode(request *Request) {
+	b.bytes = b.bytes[:0]
+	b.add(request.Method, " ", request.Target, " HTTP/1.1\r\nHost: ", request.Host, "\r\n")
 	for i := range request.Fields {
-		m.add(request.Fields[i].Name, ": ", request.Fields[i].Value, "\r\n")
+		b.add(request.Fields[i].Name, ": ", request.Fields[i].Value, "\r\n")
 	}
-	if len(request.Body) > 0 || announcesEmpty(request.Method) {
-		m.add("Content-Length: ")
-		m.bytes = strconv.AppendInt(m.bytes, int64(len(request.Body)), 10)
-		m.add("\r\n")
+	if len(request.Body) > 0 || sendsZeroLength(request.Method) {
+		b.add("Content-Length: ")
+		b.bytes = strconv.AppendInt(b.bytes, int64(len(request.Body)), 10)
+		b.add("\r\n")
 	}
-	m.add("\r\n")
-	m.bytes = append(m.bytes, request.Body...)
+	b.add("\r\n")
+	b.bytes = append(b.bytes, request.Body...)
 }
 
-func (m *message) add(texts ...string) {
+func (b *requestBuffer) add(texts ...string) {
 	for _, text := range texts {
-		m.bytes = append(m.bytes, text...)
+		b.bytes = append(b.bytes, text...)
 	}
 }
 
-// announcesEmpty says whether a request of a method announces the length of an empty
-// body too.
-func announcesEmpty(method string) bool {
+// sendsZeroLength reports whether a request with that method has a Content-Length even if
+// its body is empty.
+func sendsZeroLength(method string) bool {
 	return method == "POST" || method == "PUT" || method == "PATCH"
 }
 
-// sendable says whether every line of the head is one line on the wire.
+// sendable reports whether the method, target, host and fields hold only bytes that are
+// allowed there, so that none of them can start a line or a request of its own.
 func (r *Request) sendable() bool {
 	if !isToken(r.Method) || !isVisible(r.Target) || !isVisible(r.Host) || r.Target == "" {
 		return false
