--- a/internal/crew/crew.go
+++ b/internal/crew/crew.go
@@ -1,38 +1,39 @@
-// Package crew runs short work on goroutines that are used again. The stack of a new
-// goroutine grows, and is copied, each time that a call goes deep; one that is used again
-// keeps what it has grown to.
+// Package crew runs short functions on reused goroutines. The stack of a new goroutine is
+// grown, and thereby copied, whenever a call goes deep; a reused goroutine keeps its
+// grown stack.
 package crew
 
 import "sync/atomic"
 
-// Crew runs work. The zero value is not ready for use.
-type Crew struct {
-	// MaxIdle bounds the goroutines that wait for work.
+// Pool runs functions on reused goroutines. It must be created by New.
+type Pool struct {
+	// MaxIdle limits the number of idle goroutines.
 	MaxIdle int64
 
 	work chan func()
 	idle atomic.Int64
 }
 
-// maxIdle bounds the goroutines of the process that wait for calls: enough for those
-// that begin while others end, at 8 KB each.
+// maxIdle limits the idle goroutines of the process-wide pool. 64 are enough for the
+// calls that start while others end, at 8 KB of memory each.
 const maxIdle = 64
 
-// shared is the crew of the process.
+// shared is the process-wide pool.
 var shared = New(maxIdle)
 
-// Go runs work on the crew of the process.
+// Go runs a function on the process-wide pool.
 func Go(work func()) {
 	shared.Go(work)
 }
 
-// New returns a crew without goroutines.
-func New(maxIdle int64) *Crew {
-	return &Crew{MaxIdle: maxIdle, work: make(chan func())}
+// New returns a pool without goroutines that keeps at most maxIdle idle ones.
+func New(maxIdle int64) *Pool {
+	return &Pool{MaxIdle: maxIdle, work: make(chan func())}
 }
 
-// Go runs work on a goroutine that waits, or on a new one. It never waits itself.
-func (c *Crew) Go(work func()) {
+// Go runs a function on an idle goroutine, or on a new one if there is none. It never
+// blocks.
+func (c *Pool) Go(work func()) {
 	select {
 	case c.work <- work:
 	default:
@@ -40,7 +41,7 @@
 	}
 }
 
-func (c *Crew) run(work func()) {
+func (c *Pool) run(work func()) {
 	for {
 		work()
 		if c.idle.Add(1) > c.MaxIdle {
--- a/internal/crew/crew_test.go
+++ b/internal/crew/crew_test.go
@@ -11,7 +11,7 @@
 	"github.com/dandelionfield/dandelionfield/internal/crew"
 )
 
-// Work never waits for other work, however much there is.
+// A function never waits for another one, however many there are.
 func TestAllWorkRunsAtOnce(t *testing.T) {
 	c := crew.New(4)
 	const count = 100
@@ -34,7 +34,7 @@
 	}
 }
 
-// Only so many goroutines wait for work.
+// The number of idle goroutines stays within MaxIdle.
 func TestIdleGoroutinesAreBounded(t *testing.T) {
 	is := is.New(t)
 	before := runtime.NumGoroutine()
@@ -47,7 +47,7 @@
 	done.Wait()
 	for end := time.Now().Add(5 * time.Second); runtime.NumGoroutine() > before+4; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d goroutines more", runtime.NumGoroutine()-before)
+			t.Fatalf("%d additional goroutines after 5 s", runtime.NumGoroutine()-before)
 		}
 	}
 	is.True(runtime.NumGoroutine() <= before+4)
