--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -1,6 +1,6 @@
-// Package dial opens connections that do not hang when the other side falls
-// silent. What lies between two hosts may lose track of a connection without a
-// reset; only the kernel's own probes show that.
+// Package dial opens TCP connections that fail soon after the peer falls silent. A device
+// between two hosts may lose the state of a connection without sending a reset; only the
+// kernel's keep-alive probes detect that.
 package dial
 
 import (
@@ -12,30 +12,31 @@
 )
 
 const (
-	// probeIdle is how long nothing arrives before the other side is probed, and
-	// probeCount how many probes in a row may stay unanswered.
+	// probeIdle is how long nothing may arrive before the peer is probed, and the time
+	// between two probes. probeCount is how many probes in a row may go unanswered.
 	probeIdle  = time.Second
 	probeCount = 2
-	// ackTimeout is how long bytes may stay unacknowledged, since a connection with
-	// such bytes is not probed. An acknowledgement takes milliseconds.
+	// ackTimeout is how long sent bytes may stay unacknowledged, since the kernel does
+	// not probe a connection with such bytes. An acknowledgement normally takes
+	// milliseconds.
 	ackTimeout = 1500 * time.Millisecond
 )
 
-// Dialer returns a dialer whose connections break within some two seconds of
-// silence, and which gives up opening one after the timeout.
+// Dialer returns a dialer whose connections fail after about two seconds of silence. The
+// timeout limits the opening of a connection.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: probeIdle, Interval: probeIdle, Count: probeCount,
 		},
-		Control: boundAcks,
+		Control: setUserTimeout,
 	}
 }
 
-// boundAcks sets the bound on unacknowledged bytes. A socket without it is as good
-// as any other until a connection falls silent, so a failure ends nothing.
-func boundAcks(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout limits how long sent bytes may stay unacknowledged. Its errors are
+// ignored: a socket without the limit works until the peer falls silent.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 	})
