--- a/pkg/schema/check.go
+++ b/pkg/schema/check.go
@@ -8,16 +8,16 @@
 	"github.com/dandelionfield/dandelionfield/internal/place"
 )
 
-// check judges the resources together. A reference to a resource that could
-// not be read is reported as unknown only when nothing of that name stands
-// anywhere.
+// check validates the resources against each other after all files have been parsed. The
+// set also holds resources with invalid fields, so a reference to one of them is not
+// reported as unknown unless no resource of the right type has the name.
 func (p *parser) check() {
 	for i := range p.set.Kinds {
 		kind := &p.set.Kinds[i]
-		at := p.places[TypeKind][kind.Name]
-		p.checkService(kind, at)
-		p.checkSplit(kind, at)
-		p.checkCalls(kind, at)
+		decl := p.declarations[TypeKind][kind.Name]
+		p.checkService(kind, decl)
+		p.checkSplit(kind, decl)
+		p.checkCalls(kind, decl)
 	}
 	p.checkCycles()
 	p.checkPaths()
@@ -25,8 +25,8 @@
 	p.checkLimits()
 }
 
-func (p *parser) checkService(kind *Kind, at declared) {
-	field, present := at.Fields["service"]
+func (p *parser) checkService(kind *Kind, decl declaration) {
+	field, present := decl.Fields["service"]
 	if !present || kind.Service == "" || p.set.Service(kind.Service) != nil {
 		return
 	}
@@ -34,12 +34,13 @@
 	for _, service := range p.set.Services {
 		known = append(known, service.Name)
 	}
-	at.reader.Report(field, "a declared service"+suggest(kind.Service, known))
+	decl.reader.Report(field, "a declared service"+suggest(kind.Service, known))
 }
 
-// checkSplit judges the services of a split, and whether any of them has a weight.
-func (p *parser) checkSplit(kind *Kind, at declared) {
-	field, present := at.Fields["split"]
+// checkSplit reports services of a split that are not declared, and a split whose weights
+// are all 0.
+func (p *parser) checkSplit(kind *Kind, decl declaration) {
+	field, present := decl.Fields["split"]
 	if !present {
 		return
 	}
@@ -47,65 +48,68 @@
 	for _, share := range kind.Split {
 		total += share.Weight
 		if p.set.Service(share.Service) == nil {
-			at.reader.Reportf(field, "declared services, which %s is not", share.Service)
+			decl.reader.Reportf(field, "declared services, which %s is not", share.Service)
 		}
 	}
 	if total == 0 {
-		at.reader.Report(field, "a weight above 0")
+		decl.reader.Report(field, "a weight above 0")
 	}
 }
 
-// checkCalls judges each call of a kind. A safe kind may not call one that must
-// never be repeated: a repeat of the outer request would repeat the inner one.
-func (p *parser) checkCalls(kind *Kind, at declared) {
-	for _, value := range items(at.Fields["calls"]) {
+// checkCalls validates the kinds that a kind calls. A safe kind must not call a kind with
+// repeat: never, because repeating the outer request would repeat the inner one. The
+// deadline of a called kind must not be longer than that of its caller.
+func (p *parser) checkCalls(kind *Kind, decl declaration) {
+	for _, value := range items(decl.Fields["calls"]) {
 		called := p.set.Kind(value.Node.Value)
 		if called == nil {
-			at.reader.Report(value, "a declared request kind"+suggest(value.Node.Value, p.kindNames()))
+			decl.reader.Report(value, "a declared request kind"+suggest(value.Node.Value, p.kindNames()))
 			continue
 		}
 		if kind.Repeat == Safe && called.Repeat == Never {
-			at.reader.Reportf(value, "a kind with repeat: safe, because %s may be repeated", kind.Name)
+			decl.reader.Reportf(value, "a kind with repeat: safe, because %s may be repeated", kind.Name)
 		}
 		if called.Deadline > kind.Deadline {
-			at.reader.Reportf(value, "a kind whose deadline (%s) is at most that of %s (%s)", called.Deadline, kind.Name, kind.Deadline)
+			decl.reader.Reportf(value, "a kind whose deadline (%s) is at most that of %s (%s)", called.Deadline, kind.Name, kind.Deadline)
 		}
 	}
 }
 
-// checkCycles reports every call that leads back to its own kind, once for
-// each cycle, at the first kind in the order of names.
+// checkCycles reports cycles in the call graph of the kinds. The search starts from the
+// kinds in order of their names, and each cycle is reported at the call that closes it.
 func (p *parser) checkCycles() {
 	done := map[string]bool{}
 	for i := range p.set.Kinds {
 		var trail []string
-		p.walk(&p.set.Kinds[i], trail, done)
+		p.findCycles(&p.set.Kinds[i], trail, done)
 	}
 }
 
-func (p *parser) walk(kind *Kind, trail []string, done map[string]bool) {
+// findCycles does a depth-first search from kind. The trail holds the kinds on the current
+// path; done holds those that have been searched completely.
+func (p *parser) findCycles(kind *Kind, trail []string, done map[string]bool) {
 	if done[kind.Name] {
 		return
 	}
 	trail = append(trail, kind.Name)
-	at := p.places[TypeKind][kind.Name]
-	for _, value := range items(at.Fields["calls"]) {
+	decl := p.declarations[TypeKind][kind.Name]
+	for _, value := range items(decl.Fields["calls"]) {
 		called := p.set.Kind(value.Node.Value)
 		if called == nil {
 			continue
 		}
 		if start := slices.Index(trail, called.Name); start >= 0 {
 			cycle := strings.Join(append(slices.Clone(trail[start:]), called.Name), " -> ")
-			at.reader.Reportf(value, "calls without a cycle (%s)", cycle)
+			decl.reader.Reportf(value, "calls without a cycle (%s)", cycle)
 			continue
 		}
-		p.walk(called, trail, done)
+		p.findCycles(called, trail, done)
 	}
 	done[kind.Name] = true
 }
 
-// checkPaths reports kinds between which the path cannot decide, also of
-// different services, because a request names no service.
+// checkPaths reports kinds whose paths or prefixes are ambiguous. Kinds of different
+// services are compared too, because a request does not name a service.
 func (p *parser) checkPaths() {
 	routes := http.NewServeMux()
 	prefixes := map[prefixKey]string{}
@@ -114,19 +118,19 @@
 		if kind.Prefix != "" {
 			key := prefixKey{kind.Host, kind.Prefix}
 			if first, taken := prefixes[key]; taken {
-				at := p.places[TypeKind][kind.Name]
-				at.reader.Reportf(at.Fields["prefix"], "another prefix than that of %s", first)
+				decl := p.declarations[TypeKind][kind.Name]
+				decl.reader.Reportf(decl.Fields["prefix"], "another prefix than that of %s", first)
 			}
 			prefixes[key] = kind.Name
 		}
 		if kind.Path == "" || register(routes, kind) == nil {
 			continue
 		}
-		at := p.places[TypeKind][kind.Name]
+		decl := p.declarations[TypeKind][kind.Name]
 		for j := range i {
 			other := &p.set.Kinds[j]
-			if other.Path != "" && conflict(other, kind) {
-				at.reader.Reportf(at.Fields["path"], "a path that cannot be confused with %s %s of %s", other.Method, other.Path, other.Name)
+			if other.Path != "" && conflicts(other, kind) {
+				decl.reader.Reportf(decl.Fields["path"], "a path that cannot be confused with %s %s of %s", other.Method, other.Path, other.Name)
 				break
 			}
 		}
@@ -139,8 +143,8 @@
 		known = append(known, centre.Name)
 	}
 	for _, centre := range p.set.DataCentres {
-		at := p.places[TypeDataCentre][centre.Name]
-		field := at.Fields["distances"]
+		decl := p.declarations[TypeDataCentre][centre.Name]
+		field := decl.Fields["distances"]
 		if field.Node == nil {
 			continue
 		}
@@ -148,36 +152,37 @@
 		for i := 0; i+1 < len(content); i += 2 {
 			key := place.Value{Node: content[i], Path: field.Path}
 			if content[i].Value == centre.Name || !slices.Contains(known, content[i].Value) {
-				at.reader.Report(key, "another declared data centre"+suggest(content[i].Value, without(known, centre.Name)))
+				decl.reader.Report(key, "another declared data centre"+suggest(content[i].Value, without(known, centre.Name)))
 			}
 		}
 	}
 }
 
-// checkLimits judges the limits against each other. A limit that is not
-// declared holds by its default, so the problem stands at the declared one.
+// checkLimits validates the limits against each other. A limit that is not declared has
+// its default value, so a conflict is reported at a limit that is declared.
 func (p *parser) checkLimits() {
-	at, present := p.places[TypeLimits][LimitsName]
+	decl, present := p.declarations[TypeLimits][LimitsName]
 	if !present {
 		return
 	}
 	limits := p.set.Limits
 	if limits.MaxAnswerBytes > limits.HeldBytes {
-		at.reader.Reportf(at.first("max_answer_bytes", "held_bytes"),
+		decl.reader.Reportf(decl.firstDeclared("max_answer_bytes", "held_bytes"),
 			"max_answer_bytes at most held_bytes (%s)", place.FormatSize(limits.HeldBytes))
 	}
 	if limits.MaxAnswerBytes > limits.RecordBytes {
-		at.reader.Reportf(at.first("max_answer_bytes", "record_bytes"),
+		decl.reader.Reportf(decl.firstDeclared("max_answer_bytes", "record_bytes"),
 			"max_answer_bytes at most record_bytes (%s)", place.FormatSize(limits.RecordBytes))
 	}
 	if limits.ClockMargin*marginsPerLease > limits.OwnerLease {
-		at.reader.Reportf(at.first("clock_margin", "owner_lease"),
+		decl.reader.Reportf(decl.firstDeclared("clock_margin", "owner_lease"),
 			"clock_margin at most 1/%d of owner_lease (%s)", marginsPerLease, limits.OwnerLease)
 	}
 }
 
-// first returns the place of the first of the fields that is declared.
-func (d declared) first(keys ...string) place.Value {
+// firstDeclared returns the position of the first of the given fields that is declared, or
+// that of the whole resource if none is.
+func (d declaration) firstDeclared(keys ...string) place.Value {
 	for _, key := range keys {
 		if value, present := d.Fields[key]; present {
 			return value
@@ -194,7 +199,7 @@
 	return names
 }
 
-// items returns the strings of a list with their places.
+// items returns the elements of a list with their positions, or nil if there is no list.
 func items(list place.Value) []place.Value {
 	if list.Node == nil {
 		return nil
@@ -202,11 +207,13 @@
 	return list.Items()
 }
 
-// without returns the names but one.
+// without returns a copy of names that leaves out one name.
 func without(names []string, name string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(other string) bool { return other == name })
 }
 
+// suggest returns a hint with the closest of the names, to be appended to a message, or ""
+// if none is close.
 func suggest(word string, names []string) string {
 	if suggestion := place.Closest(word, names); suggestion != "" {
 		return " (did you mean \"" + suggestion + "\"?)"
--- a/pkg/schema/defaults.go
+++ b/pkg/schema/defaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The bounds of declared values.
+// Bounds on declared values.
 const (
 	maxSlots        = 100_000
 	maxConnections  = 1_000_000
@@ -16,9 +16,9 @@
 	minHeaderBytes  = 256
 	maxMemoryBytes  = 1 << 40
 	maxWait         = time.Hour
-	// maxKeptRevisions keeps the row that names them below some 200 KB.
+	// maxKeptRevisions keeps the row that lists the revisions below about 200 KB.
 	maxKeptRevisions = 1000
-	// maxDeadline is below the time for which nodes keep the records of attempts.
+	// maxDeadline is shorter than the time for which nodes keep attempt records.
 	maxDeadline = time.Minute
 	// MaxClockMargin is the largest clock margin that can be declared.
 	MaxClockMargin = 10 * time.Second
@@ -27,14 +27,15 @@
 	minDeadline    = time.Millisecond
 	minOwnerLease  = time.Second
 	maxOwnerLease  = 24 * time.Hour
-	// marginsPerLease is how many clock margins fit into an owner lease, so that
-	// a holding is renewed well before its end by any host's clock.
+	// marginsPerLease is how many clock margins must fit into an owner lease, so that a
+	// lease is renewed well before it expires by the clock of any host.
 	marginsPerLease = 16
 )
 
-// DefaultService returns the values of a service whose declaration names only
-// its slots and connections. A queue that is not declared is as long as the
-// slots; one of 0 means that no call waits.
+// DefaultService returns the defaults for the optional fields of a service; slots and
+// connections are required. The queue length is not among them: the parser sets it to the
+// number of slots when it is not declared, and a declared queue of 0 means that no call
+// waits.
 func DefaultService() Service {
 	return Service{
 		QueueWait:  200 * time.Millisecond,
@@ -44,9 +45,9 @@
 	}
 }
 
-// DefaultKind returns the values of a kind whose declaration leaves them out.
-// Without `repeat`, GET, HEAD and OPTIONS are safe and every other method is
-// never: a forgotten line must not double an order.
+// DefaultKind returns the defaults for the optional fields of a request kind. The parser
+// derives a missing `repeat` from the method: safe for GET, HEAD and OPTIONS, and never for
+// every other method, so that a forgotten `repeat` cannot run an order twice.
 func DefaultKind() Kind {
 	return Kind{
 		Method:     http.MethodGet,
@@ -56,7 +57,7 @@
 	}
 }
 
-// DefaultLimits returns the limits that hold when none are declared.
+// DefaultLimits returns the limits that apply when none are declared.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxRequestBytes: 1 << 20,
@@ -73,8 +74,8 @@
 	}
 }
 
-// defaultRepeat returns the rule for a kind that declares none. A prefix takes
-// requests of any method.
+// defaultRepeat returns the repeat rule of a kind that does not declare one. A kind with a
+// prefix gets Never, because it accepts requests of any method.
 func defaultRepeat(kind Kind) Repeat {
 	if kind.Prefix != "" {
 		return Never
--- a/pkg/schema/document.go
+++ b/pkg/schema/document.go
@@ -14,30 +14,30 @@
 )
 
 type (
-	// Resource is one resource in its canonical form, for display.
+	// Resource is one resource in canonical form, with all its fields in a fixed order.
 	Resource struct {
 		Type   string
 		Name   string
 		Fields []FieldValue
 	}
 
-	// FieldValue is one field of a resource with its YAML node.
+	// FieldValue is a field of a resource: its key and its value as a YAML node.
 	FieldValue struct {
 		Key  string
 		node *yaml.Node
 	}
 
-	// Change is the difference of one resource between two sets.
+	// Change describes how one resource differs between two sets.
 	Change struct {
-		// Action is created, changed or deleted.
+		// Action is Created, Changed or Deleted.
 		Action string        `json:"action"`
 		Type   string        `json:"resource"`
 		Name   string        `json:"name"`
 		Fields []FieldChange `json:"fields,omitempty"`
 	}
 
-	// FieldChange is the difference of one field; a side is empty when the
-	// resource does not exist there.
+	// FieldChange describes how one field differs between two sets. Before or After is
+	// empty when the field does not exist on that side.
 	FieldChange struct {
 		Key    string `json:"key"`
 		Before string `json:"before"`
@@ -45,15 +45,15 @@
 	}
 )
 
-// The actions of a change.
+// Values of Change.Action.
 const (
 	Created = "created"
 	Changed = "changed"
 	Deleted = "deleted"
 )
 
-// Document returns the canonical YAML form: every field of every resource in
-// a fixed order. Equal sets have equal documents.
+// Document returns the set in canonical YAML form: all resources and their fields in a
+// fixed order, including defaults. Equal sets have equal documents.
 func (s *Set) Document() []byte {
 	var document bytes.Buffer
 	for i, resource := range s.Resources() {
@@ -65,7 +65,8 @@
 	return document.Bytes()
 }
 
-// Resources returns all resources in canonical order; the limits come last.
+// Resources returns all resources in canonical order: data centres, services, kinds, each
+// sorted by name, and then the limits.
 func (s *Set) Resources() []Resource {
 	sorted := Set{
 		Services:    append([]Service(nil), s.Services...),
@@ -86,8 +87,8 @@
 	return append(resources, s.Limits.resource())
 }
 
-// Without returns the set without one resource and whether it was there.
-// Without its limits, a set has the default ones.
+// Without returns a copy of the set without one resource, and whether the set had that
+// resource. Removing the limits resets them to their defaults.
 func (s *Set) Without(resourceType, name string) (*Set, bool) {
 	rest := &Set{Limits: s.Limits}
 	for _, service := range s.Services {
@@ -113,11 +114,11 @@
 	return rest, len(rest.Services)+len(rest.Kinds)+len(rest.DataCentres) < before
 }
 
-// Diff returns what changes when other takes the place of the set, by type and
-// name; empty, not nil, when nothing does.
+// Diff returns the changes from s to other, sorted by type and name. The result is empty
+// but not nil when the sets are equal.
 func (s *Set) Diff(other *Set) []Change {
-	before := byIdentity(s.Resources())
-	after := byIdentity(other.Resources())
+	before := indexByIdentity(s.Resources())
+	after := indexByIdentity(other.Resources())
 	changes := []Change{}
 	for identity, resource := range after {
 		old, existed := before[identity]
@@ -147,21 +148,21 @@
 // YAML returns the resource as one YAML document.
 func (r Resource) YAML() []byte {
 	mapping := &yaml.Node{Kind: yaml.MappingNode}
-	mapping.Content = append(mapping.Content, text("resource"), text(r.Type))
+	mapping.Content = append(mapping.Content, stringNode("resource"), stringNode(r.Type))
 	for _, field := range r.Fields {
-		mapping.Content = append(mapping.Content, text(field.Key), field.node)
+		mapping.Content = append(mapping.Content, stringNode(field.Key), field.node)
 	}
 	var document bytes.Buffer
 	encoder := yaml.NewEncoder(&document)
 	encoder.SetIndent(2)
-	// Nodes that are built here always encode; an error is a fault in the code.
+	// Nodes built by this package always encode, so an error is a bug.
 	if err := encoder.Encode(mapping); err != nil {
 		panic(err)
 	}
 	return document.Bytes()
 }
 
-// MarshalJSON returns the resource as a JSON object with the keys of its YAML.
+// MarshalJSON returns the resource as a JSON object with the same keys as its YAML form.
 func (r Resource) MarshalJSON() ([]byte, error) {
 	var object bytes.Buffer
 	object.WriteString(`{"resource":` + strconv.Quote(r.Type))
@@ -181,7 +182,7 @@
 	return object.Bytes(), nil
 }
 
-// String returns the value in one line of YAML.
+// String returns the value as a single line of YAML.
 func (f FieldValue) String() string {
 	if f.node.Kind == yaml.ScalarNode {
 		return f.node.Value
@@ -195,7 +196,7 @@
 	return strings.TrimSpace(string(encoded))
 }
 
-// changes returns the fields that differ from the older resource.
+// changes returns the fields of r that differ from old.
 func (r Resource) changes(old Resource) []FieldChange {
 	before := map[string]string{}
 	for _, field := range old.Fields {
@@ -212,17 +213,17 @@
 
 func (s Service) resource() Resource {
 	fields := []FieldValue{
-		{"name", text(s.Name)},
-		{"slots", integer(s.Slots)},
-		{"connections", integer(s.Connections)},
-		{"queue", integer(s.Queue)},
-		{"queue_wait", text(s.QueueWait.String())},
-		{"cold_start", text(s.ColdStart.String())},
-		{"retry_share", number(s.RetryShare)},
-		{"shed_status", integer(s.ShedStatus)},
+		{"name", stringNode(s.Name)},
+		{"slots", intNode(s.Slots)},
+		{"connections", intNode(s.Connections)},
+		{"queue", intNode(s.Queue)},
+		{"queue_wait", stringNode(s.QueueWait.String())},
+		{"cold_start", stringNode(s.ColdStart.String())},
+		{"retry_share", numberNode(s.RetryShare)},
+		{"shed_status", intNode(s.ShedStatus)},
 	}
 	if s.HealthPath != "" {
-		fields = append(fields, FieldValue{"health_path", text(s.HealthPath)})
+		fields = append(fields, FieldValue{"health_path", stringNode(s.HealthPath)})
 	}
 	return Resource{Type: TypeService, Name: s.Name, Fields: fields}
 }
@@ -230,41 +231,41 @@
 func (k Kind) resource() Resource {
 	calls := &yaml.Node{Kind: yaml.SequenceNode, Style: yaml.FlowStyle}
 	for _, name := range k.Calls {
-		calls.Content = append(calls.Content, text(name))
+		calls.Content = append(calls.Content, stringNode(name))
 	}
-	fields := []FieldValue{{"name", text(k.Name)}}
+	fields := []FieldValue{{"name", stringNode(k.Name)}}
 	fields = append(fields, k.selection()...)
 	fields = append(fields,
-		FieldValue{"importance", text(k.Importance.String())},
-		FieldValue{"repeat", text(k.Repeat.String())},
-		FieldValue{"deadline", text(k.Deadline.String())},
-		FieldValue{"retries", integer(k.Retries)},
+		FieldValue{"importance", stringNode(k.Importance.String())},
+		FieldValue{"repeat", stringNode(k.Repeat.String())},
+		FieldValue{"deadline", stringNode(k.Deadline.String())},
+		FieldValue{"retries", intNode(k.Retries)},
 		FieldValue{"calls", calls},
 	)
 	if k.Objective > 0 {
-		fields = append(fields, FieldValue{"objective", text(k.Objective.String())})
+		fields = append(fields, FieldValue{"objective", stringNode(k.Objective.String())})
 	}
 	return Resource{Type: TypeKind, Name: k.Name, Fields: fields}
 }
 
-// selection returns the fields that say which requests are of the kind, and
-// where they go.
+// selection returns the fields that determine which requests belong to the kind and which
+// services they go to.
 func (k Kind) selection() []FieldValue {
-	fields := []FieldValue{{"service", text(k.Service)}}
+	fields := []FieldValue{{"service", stringNode(k.Service)}}
 	if len(k.Split) > 0 {
 		split := &yaml.Node{Kind: yaml.MappingNode}
 		for _, share := range k.Split {
-			split.Content = append(split.Content, text(share.Service), integer(share.Weight))
+			split.Content = append(split.Content, stringNode(share.Service), intNode(share.Weight))
 		}
 		fields = []FieldValue{{"split", split}}
 	}
 	if k.Prefix == "" {
-		return append(fields, FieldValue{"method", text(k.Method)}, FieldValue{"path", text(k.Path)})
+		return append(fields, FieldValue{"method", stringNode(k.Method)}, FieldValue{"path", stringNode(k.Path)})
 	}
 	if k.Host != "" {
-		fields = append(fields, FieldValue{"host", text(k.Host)})
+		fields = append(fields, FieldValue{"host", stringNode(k.Host)})
 	}
-	return append(fields, FieldValue{"prefix", text(k.Prefix)})
+	return append(fields, FieldValue{"prefix", stringNode(k.Prefix)})
 }
 
 func (d DataCentre) resource() Resource {
@@ -275,32 +276,32 @@
 	sort.Strings(names)
 	distances := &yaml.Node{Kind: yaml.MappingNode}
 	for _, name := range names {
-		distances.Content = append(distances.Content, text(name), text(d.Distances[name].String()))
+		distances.Content = append(distances.Content, stringNode(name), stringNode(d.Distances[name].String()))
 	}
 	return Resource{Type: TypeDataCentre, Name: d.Name, Fields: []FieldValue{
-		{"name", text(d.Name)},
-		{"region", text(d.Region)},
+		{"name", stringNode(d.Name)},
+		{"region", stringNode(d.Region)},
 		{"distances", distances},
 	}}
 }
 
 func (l Limits) resource() Resource {
 	return Resource{Type: TypeLimits, Name: LimitsName, Fields: []FieldValue{
-		{"max_request_bytes", text(place.FormatSize(l.MaxRequestBytes))},
-		{"max_answer_bytes", text(place.FormatSize(l.MaxAnswerBytes))},
-		{"max_header_bytes", text(place.FormatSize(l.MaxHeaderBytes))},
-		{"header_timeout", text(l.HeaderTimeout.String())},
-		{"idle_timeout", text(l.IdleTimeout.String())},
-		{"held_bytes", text(place.FormatSize(l.HeldBytes))},
-		{"record_bytes", text(place.FormatSize(l.RecordBytes))},
-		{"key_age", text(l.KeyAge.String())},
-		{"owner_lease", text(l.OwnerLease.String())},
-		{"clock_margin", text(l.ClockMargin.String())},
-		{"kept_revisions", integer(l.KeptRevisions)},
+		{"max_request_bytes", stringNode(place.FormatSize(l.MaxRequestBytes))},
+		{"max_answer_bytes", stringNode(place.FormatSize(l.MaxAnswerBytes))},
+		{"max_header_bytes", stringNode(place.FormatSize(l.MaxHeaderBytes))},
+		{"header_timeout", stringNode(l.HeaderTimeout.String())},
+		{"idle_timeout", stringNode(l.IdleTimeout.String())},
+		{"held_bytes", stringNode(place.FormatSize(l.HeldBytes))},
+		{"record_bytes", stringNode(place.FormatSize(l.RecordBytes))},
+		{"key_age", stringNode(l.KeyAge.String())},
+		{"owner_lease", stringNode(l.OwnerLease.String())},
+		{"clock_margin", stringNode(l.ClockMargin.String())},
+		{"kept_revisions", intNode(l.KeptRevisions)},
 	}}
 }
 
-func byIdentity(resources []Resource) map[string]Resource {
+func indexByIdentity(resources []Resource) map[string]Resource {
 	byIdentity := make(map[string]Resource, len(resources))
 	for _, resource := range resources {
 		byIdentity[resource.Type+"/"+resource.Name] = resource
@@ -308,20 +309,20 @@
 	return byIdentity
 }
 
-// text returns a string node; the encoder quotes it where it must.
-func text(value string) *yaml.Node {
+// stringNode returns a YAML string node. The encoder adds quotes where they are needed.
+func stringNode(value string) *yaml.Node {
 	return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!str", Value: value}
 }
 
-func integer(value int) *yaml.Node {
+func intNode(value int) *yaml.Node {
 	return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!int", Value: strconv.Itoa(value)}
 }
 
-// number returns a number node. A whole number is tagged as one, else the
-// encoder would write the tag out.
-func number(value float64) *yaml.Node {
+// numberNode returns a YAML number node. A whole number is tagged as an integer, because
+// the encoder would otherwise write the float tag into the document.
+func numberNode(value float64) *yaml.Node {
 	if value == math.Trunc(value) {
-		return integer(int(value))
+		return intNode(int(value))
 	}
 	return &yaml.Node{Kind: yaml.ScalarNode, Tag: "!!float", Value: strconv.FormatFloat(value, 'g', -1, 64)}
 }
--- a/pkg/schema/match.go
+++ b/pkg/schema/match.go
@@ -14,13 +14,14 @@
 )
 
 type (
-	// Matcher finds the kind of a request by its method and path. It may be
-	// used from several goroutines.
+	// Matcher finds the kind of a request by its method and path, or by its host and the
+	// prefix of its path. It is safe for concurrent use.
 	Matcher struct {
 		routes *http.ServeMux
-		// prefixes holds the kinds with a prefix, by host and prefix.
+		// prefixes maps host and prefix to the kind that declares them.
 		prefixes map[prefixKey]*Kind
-		hosts    map[string]bool
+		// hosts holds the hosts of all kinds with a prefix.
+		hosts map[string]bool
 	}
 
 	prefixKey struct {
@@ -28,26 +29,27 @@
 		prefix string
 	}
 
-	// route carries a kind through the router of net/http, which is used only
-	// to look patterns up.
+	// route registers a kind as a handler with http.ServeMux. The mux is used only to
+	// look up patterns and never serves a request.
 	route struct {
 		kind *Kind
 	}
 )
 
-// pathShape holds the paths that may be declared: printable, and without a
-// host, a space or the special {$}.
-var pathShape = regexp.MustCompile(`^(/([A-Za-z0-9._~!&'()*+,;=:@-]+|\{[a-z][a-z0-9_]*(\.\.\.)?\}))+$|^/$`)
+// pathRegexp matches the paths that may be declared. They consist of printable characters
+// and must not contain a host, a space or the special pattern {$}.
+var pathRegexp = regexp.MustCompile(`^(/([A-Za-z0-9._~!&'()*+,;=:@-]+|\{[a-z][a-z0-9_]*(\.\.\.)?\}))+$|^/$`)
 
-// errConflict means that two patterns match some request alike.
+// errConflict means that the router rejected a pattern, because two patterns match the same
+// request and neither is more specific.
 var errConflict = errors.New("conflicting patterns")
 
-// ServeHTTP is never called; it lets a route stand in the router.
+// ServeHTTP is never called. It makes route an http.Handler, as the router requires.
 func (*route) ServeHTTP(http.ResponseWriter, *http.Request) {}
 
-// NewMatcher compiles the paths of a checked set. Patterns are those of
-// net/http: {name} stands for one segment, {name...} for the rest, and the more
-// specific pattern wins. Kinds that conflict with an earlier one are left out.
+// NewMatcher compiles the paths and prefixes of a valid set. Patterns follow net/http:
+// {name} matches one segment, {name...} matches the rest, and the more specific pattern
+// wins. A kind whose path conflicts with that of an earlier kind is left out.
 func NewMatcher(s *Set) *Matcher {
 	m := &Matcher{
 		routes:   http.NewServeMux(),
@@ -66,24 +68,25 @@
 	return m
 }
 
-// MatchPrefix returns the kind with the longest prefix of a path, as it was
-// sent, among those of the host and then among those of all hosts. The path is
-// not decoded: a target sees the same bytes.
+// MatchPrefix returns the kind with the longest prefix that matches path. Kinds declared
+// for the host come before kinds without a host. The path is compared as it was sent,
+// without decoding, because the target receives the same bytes.
 func (m *Matcher) MatchPrefix(host, path string) (*Kind, bool) {
 	if len(m.prefixes) == 0 {
 		return nil, false
 	}
 	host = hostName(host)
 	if m.hosts[host] {
-		if kind, ok := m.longest(host, path); ok {
+		if kind, ok := m.longestPrefix(host, path); ok {
 			return kind, true
 		}
 	}
-	return m.longest("", path)
+	return m.longestPrefix("", path)
 }
 
-// longest looks the starts of the path up that end with a slash.
-func (m *Matcher) longest(host, path string) (*Kind, bool) {
+// longestPrefix looks up the prefixes of path that end in a slash, longest first, among the
+// kinds of one host.
+func (m *Matcher) longestPrefix(host, path string) (*Kind, bool) {
 	for end := len(path); end > 0; {
 		end = strings.LastIndexByte(path[:end], '/')
 		if end < 0 {
@@ -96,7 +99,7 @@
 	return nil, false
 }
 
-// hostName returns the host of a Host header in lower case, without its port.
+// hostName returns the value of a Host header in lower case and without the port.
 func hostName(header string) string {
 	if host, _, err := net.SplitHostPort(header); err == nil {
 		header = host
@@ -104,8 +107,8 @@
 	return strings.ToLower(header)
 }
 
-// Match returns the kind for a method and the decoded path of a URL. A path
-// that is not clean, such as //stock or /a/../stock, matches nothing.
+// Match returns the kind for a method and a decoded URL path. A path that is not clean,
+// such as //stock or /a/../stock, does not match any kind.
 func (m *Matcher) Match(method, urlPath string) (*Kind, bool) {
 	if !strings.HasPrefix(urlPath, "/") || path.Clean(urlPath) != urlPath {
 		return nil, false
@@ -119,8 +122,9 @@
 	return found.kind, true
 }
 
-// Chain returns the services that a kind is known to call, directly or
-// through other kinds, its own first. It is empty for an unknown kind.
+// Chain returns the services that a request of the kind may reach: first those of the kind
+// itself, then those of the kinds that it calls directly or indirectly. It is empty for an
+// unknown kind.
 func (s *Set) Chain(kind string) []string {
 	var services []string
 	seenKinds := map[string]bool{}
@@ -145,8 +149,8 @@
 	return services
 }
 
-// register adds a kind to the router. The router panics on conflicts, which
-// is its only way to tell of them.
+// register adds a kind to the router. http.ServeMux reports conflicts only by panicking, so
+// register recovers and returns errConflict.
 func register(routes *http.ServeMux, kind *Kind) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -157,7 +161,8 @@
 	return nil
 }
 
-// routePath keeps the root from matching every path, as "/" does in net/http.
+// routePath returns the router pattern for a declared path. The path "/" must match only
+// the root, but the pattern "/" of net/http matches every path.
 func routePath(declared string) string {
 	if declared == "/" {
 		return "/{$}"
@@ -165,9 +170,9 @@
 	return declared
 }
 
-// conflict reports whether some request matches both kinds with neither the
-// more specific.
-func conflict(a, b *Kind) bool {
+// conflicts reports whether some request matches the paths of both kinds while neither path
+// is more specific.
+func conflicts(a, b *Kind) bool {
 	routes := http.NewServeMux()
 	if register(routes, a) != nil {
 		return false
@@ -175,12 +180,12 @@
 	return register(routes, b) != nil
 }
 
-// pathPattern reads the path of a kind.
-func pathPattern(to *string) func(*place.Reader, place.Value) {
+// pathPattern returns a function that reads the path of a kind.
+func pathPattern(dst *string) func(*place.Reader, place.Value) {
 	const expected = "a path such as /allowances/{household}"
 	return func(r *place.Reader, value place.Value) {
 		var text string
-		place.Match(&text, pathShape, expected)(r, value)
+		place.Match(&text, pathRegexp, expected)(r, value)
 		if text == "" {
 			return
 		}
@@ -188,6 +193,6 @@
 			r.Report(value, expected)
 			return
 		}
-		*to = text
+		*dst = text
 	}
 }
--- a/pkg/schema/match_test.go
+++ b/pkg/schema/match_test.go
@@ -8,15 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-// naiveSegments and naiveMethods are what the paths and methods of the
-// differential test are made of; z stands for every segment that no pattern
-// names.
+// naiveSegments and naiveMethods are the path segments and methods that the differential
+// test combines. The segment z stands for every segment that no pattern contains.
 var (
 	naiveSegments = []string{"a", "b", "z"}
 	naiveMethods  = []string{http.MethodGet, http.MethodHead, http.MethodPost}
 )
 
-// naiveMatch compares segment by segment. HEAD is taken by GET, too.
+// naiveMatch compares paths segment by segment. A GET kind also matches HEAD requests.
 func naiveMatch(kind *Kind, method, path string) bool {
 	if kind.Method != method && (kind.Method != http.MethodGet || method != http.MethodHead) {
 		return false
@@ -33,7 +32,7 @@
 	return true
 }
 
-// naiveRequests lists every method with every path of one or two segments.
+// naiveRequests returns every combination of a method and a path of one or two segments.
 func naiveRequests() [][2]string {
 	requests := make([][2]string, 0, len(naiveMethods)*len(naiveSegments)*(1+len(naiveSegments)))
 	for _, method := range naiveMethods {
@@ -47,8 +46,8 @@
 	return requests
 }
 
-// naiveCover reports whether a matches everything that b matches.
-func naiveCover(a, b *Kind) bool {
+// naiveCovers reports whether a matches every request that b matches.
+func naiveCovers(a, b *Kind) bool {
 	for _, request := range naiveRequests() {
 		if naiveMatch(b, request[0], request[1]) && !naiveMatch(a, request[0], request[1]) {
 			return false
@@ -57,10 +56,10 @@
 	return true
 }
 
-// naiveConflict reports whether both match some request and neither pattern is
-// strictly within the other.
-func naiveConflict(a, b *Kind) bool {
-	if naiveCover(a, b) != naiveCover(b, a) {
+// naiveConflicts reports whether some request matches both kinds while neither pattern
+// matches a strict subset of the other's requests.
+func naiveConflicts(a, b *Kind) bool {
+	if naiveCovers(a, b) != naiveCovers(b, a) {
 		return false
 	}
 	for _, request := range naiveRequests() {
@@ -85,8 +84,8 @@
 	return kinds
 }
 
-// TestMatchAgainstNaive draws kinds and compares the conflicts and the matches
-// with those of a naive version that knows nothing of net/http.
+// TestMatchAgainstNaive generates kinds and compares conflicts and matches with those of a
+// naive implementation that does not use net/http.
 func TestMatchAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := &Set{}
@@ -94,8 +93,8 @@
 			free := true
 			for i := range set.Kinds {
 				other := &set.Kinds[i]
-				clash := naiveConflict(other, &kind)
-				if conflict(other, &kind) != clash {
+				clash := naiveConflicts(other, &kind)
+				if conflicts(other, &kind) != clash {
 					t.Fatalf("%s %s and %s %s: conflict should be %v", other.Method, other.Path, kind.Method, kind.Path, clash)
 				}
 				free = free && !clash
@@ -109,7 +108,7 @@
 			var want *Kind
 			for i := range set.Kinds {
 				kind := &set.Kinds[i]
-				if naiveMatch(kind, request[0], request[1]) && (want == nil || naiveCover(want, kind)) {
+				if naiveMatch(kind, request[0], request[1]) && (want == nil || naiveCovers(want, kind)) {
 					want = kind
 				}
 			}
--- a/pkg/schema/parse.go
+++ b/pkg/schema/parse.go
@@ -15,7 +15,7 @@
 	"github.com/dandelionfield/dandelionfield/internal/place"
 )
 
-// The values of the key `resource`.
+// Values of the key `resource`.
 const (
 	TypeService    = "service"
 	TypeKind       = "request_kind"
@@ -23,38 +23,38 @@
 	TypeLimits     = "limits"
 )
 
-// LimitsName is the name under which the one limits resource is addressed.
+// LimitsName is the name of the limits resource, of which a set has exactly one.
 const LimitsName = "limits"
 
 type (
-	// source is one file to parse.
+	// source is the name and the content of one file to parse.
 	source struct {
 		file string
 		data []byte
 	}
 
-	// declared is a resource with the places of its fields.
-	declared struct {
+	// declaration is a parsed resource with the positions of its fields.
+	declaration struct {
 		place.Object
 		reader *place.Reader
 		name   string
 	}
 
-	// parser collects the resources of several files.
+	// parser collects the resources and the problems of several files.
 	parser struct {
-		set     Set
-		places  map[string]map[string]declared // by type, then by name
-		readers []*place.Reader
+		set          Set
+		declarations map[string]map[string]declaration // by type, then by name
+		readers      []*place.Reader
 	}
 )
 
 var (
 	namePattern = regexp.MustCompile(`^[a-z][a-z0-9_]{0,62}$`)
-	// dataCentreName also takes dashes, which host names have.
-	dataCentreName = regexp.MustCompile(`^[a-z][a-z0-9_-]{0,62}$`)
-	hostPattern    = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,251}[a-z0-9])?$`)
-	prefixPattern  = regexp.MustCompile(`^/([!-~]*/)?$`)
-	healthPattern  = regexp.MustCompile(`^/[!-~]{0,255}$`)
+	// dataCentrePattern also allows dashes, which are common in host names.
+	dataCentrePattern = regexp.MustCompile(`^[a-z][a-z0-9_-]{0,62}$`)
+	hostPattern       = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,251}[a-z0-9])?$`)
+	prefixPattern     = regexp.MustCompile(`^/([!-~]*/)?$`)
+	healthPattern     = regexp.MustCompile(`^/[!-~]{0,255}$`)
 
 	resourceTypes = []string{TypeService, TypeKind, TypeDataCentre, TypeLimits}
 	methods       = []string{
@@ -63,19 +63,19 @@
 	}
 )
 
-// Parse reads a set of resources from one file. The error is a list of all
-// problems with their lines and columns, one to a line of its text.
+// Parse parses the content of one file; the name is used in errors only. The error lists
+// all problems, one per line of its text, each with its line and column.
 func Parse(file string, data []byte) (*Set, error) {
 	return parse([]source{{file, data}})
 }
 
-// ParseDir reads the set of all .yaml and .yml files of a directory, without
-// its subdirectories. Resources may refer to others in any of the files.
+// ParseDir parses all .yaml and .yml files of a directory, not including subdirectories,
+// into one set. Resources may refer to resources in other files.
 func ParseDir(dir string) (*Set, error) {
 	return ParseFiles(dir)
 }
 
-// ParseFiles reads the set of several files and directories together.
+// ParseFiles parses several files and directories into one set.
 func ParseFiles(paths ...string) (*Set, error) {
 	var sources []source
 	for _, path := range paths {
@@ -94,13 +94,13 @@
 	return parse(sources)
 }
 
-// Types returns the values that the key `resource` may have.
+// Types returns the valid values of the key `resource`.
 func Types() []string {
 	return slices.Clone(resourceTypes)
 }
 
-// yamlFiles returns the path itself when it is a file, or the YAML files of a
-// directory in the order of their names.
+// yamlFiles returns path itself if it is not a directory, and otherwise the YAML files of
+// the directory sorted by name.
 func yamlFiles(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -113,7 +113,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// An empty set would delete everything: a wrong path must not look like one.
+	// Applying an empty set would delete every resource, so a directory without YAML files
+	// is an error: the path is probably wrong.
 	var files []string
 	for _, entry := range entries {
 		extension := filepath.Ext(entry.Name())
@@ -129,8 +130,8 @@
 
 func parse(sources []source) (*Set, error) {
 	p := &parser{
-		set:    Set{Limits: DefaultLimits()},
-		places: map[string]map[string]declared{},
+		set:          Set{Limits: DefaultLimits()},
+		declarations: map[string]map[string]declaration{},
 	}
 	for _, source := range sources {
 		reader := &place.Reader{File: source.file}
@@ -151,7 +152,7 @@
 	return &p.set, nil
 }
 
-// resource decodes one YAML document by the type that it names.
+// resource decodes one YAML document according to its resource type.
 func (p *parser) resource(reader *place.Reader, document place.Value) {
 	switch resourceType(document) {
 	case TypeService:
@@ -167,8 +168,8 @@
 	}
 }
 
-// resourceType returns the text of the key `resource`, which decides how the
-// other keys are read.
+// resourceType returns the value of the key `resource`, which determines how the other keys
+// are read. It is empty if there is no such key.
 func resourceType(document place.Value) string {
 	content := document.Node.Content
 	for i := 0; i+1 < len(content); i += 2 {
@@ -179,8 +180,8 @@
 	return ""
 }
 
-// unknownType reports a document whose type is missing or wrong; its other
-// keys cannot be judged.
+// unknownType reports a document whose resource type is missing or invalid. Its other keys
+// cannot be validated without the type.
 func (p *parser) unknownType(reader *place.Reader, document place.Value) {
 	content := document.Node.Content
 	for i := 0; i+1 < len(content); i += 2 {
@@ -278,16 +279,16 @@
 	}
 }
 
-// declare notes where a resource stands and reports whether its name is new.
-// A resource whose name could not be read is left out of the further checks.
+// declare records the position of a resource and reports whether its name is new. A
+// resource whose name could not be read is left out of the checks that follow.
 func (p *parser) declare(reader *place.Reader, object place.Object, resourceType, name string) bool {
 	if name == "" {
 		return false
 	}
-	byName := p.places[resourceType]
+	byName := p.declarations[resourceType]
 	if byName == nil {
-		byName = map[string]declared{}
-		p.places[resourceType] = byName
+		byName = map[string]declaration{}
+		p.declarations[resourceType] = byName
 	}
 	if first, duplicate := byName[name]; duplicate {
 		at := object.Value
@@ -297,11 +298,11 @@
 		reader.Reportf(at, "each %s once; the first is at %s:%d", resourceType, first.reader.File, first.Node.Line)
 		return false
 	}
-	byName[name] = declared{Object: object, reader: reader, name: name}
+	byName[name] = declaration{Object: object, reader: reader, name: name}
 	return true
 }
 
-// sort brings the set into the order of its canonical form.
+// sort puts the set into canonical order.
 func (s *Set) sort() {
 	sort.Slice(s.Services, func(i, j int) bool { return s.Services[i].Name < s.Services[j].Name })
 	sort.Slice(s.Kinds, func(i, j int) bool { return s.Kinds[i].Name < s.Kinds[j].Name })
@@ -311,31 +312,32 @@
 	}
 }
 
-// typeField accepts the key `resource`, whose value has been read before.
+// typeField accepts the key `resource`, whose value resourceType has already read.
 func typeField() place.Field {
 	return place.Field{Key: "resource", Required: true, Read: func(*place.Reader, place.Value) {}}
 }
 
-func name(to *string) func(*place.Reader, place.Value) {
-	return place.Match(to, namePattern, "a name in snake_case of at most 63 letters")
+func name(dst *string) func(*place.Reader, place.Value) {
+	return place.Match(dst, namePattern, "a name in snake_case of at most 63 letters")
 }
 
-func centreName(to *string) func(*place.Reader, place.Value) {
-	return place.Match(to, dataCentreName, "a name of at most 63 lower-case letters, digits, _ and -")
+func centreName(dst *string) func(*place.Reader, place.Value) {
+	return place.Match(dst, dataCentrePattern, "a name of at most 63 lower-case letters, digits, _ and -")
 }
 
-func method(to *string) func(*place.Reader, place.Value) {
+func method(dst *string) func(*place.Reader, place.Value) {
 	return func(r *place.Reader, value place.Value) {
 		if !slices.Contains(methods, value.Node.Value) {
 			r.Reportf(value, "one of %s", strings.Join(methods, ", "))
 			return
 		}
-		*to = value.Node.Value
+		*dst = value.Node.Value
 	}
 }
 
-// checkSelection reports a kind that says not at all, or twice, which requests
-// are of it or where they go.
+// checkSelection reports a kind that does not declare exactly one of path and prefix, or
+// exactly one of service and split. It also reports a host without a prefix, and a method
+// with a prefix.
 func checkSelection(reader *place.Reader, object place.Object) {
 	for _, pair := range [][2]string{{"path", "prefix"}, {"service", "split"}} {
 		_, first := object.Fields[pair[0]]
@@ -356,8 +358,8 @@
 	}
 }
 
-// split reads a mapping from services to their weights.
-func split(to *[]Share) func(*place.Reader, place.Value) {
+// split returns a function that reads a mapping from services to weights.
+func split(dst *[]Share) func(*place.Reader, place.Value) {
 	return func(r *place.Reader, value place.Value) {
 		if value.Node.Kind != yaml.MappingNode || len(value.Node.Content) == 0 {
 			r.Report(value, "a mapping from services to weights")
@@ -367,19 +369,19 @@
 			share := Share{Service: key.Value, Weight: -1}
 			place.Int(&share.Weight, 0, maxWeight)(r, child)
 			if share.Weight >= 0 {
-				*to = append(*to, share)
+				*dst = append(*dst, share)
 			}
 		})
 	}
 }
 
-// names reads a list of names without duplicates.
-func names(to *[]string) func(*place.Reader, place.Value) {
+// names returns a function that reads a list of names without duplicates.
+func names(dst *[]string) func(*place.Reader, place.Value) {
 	return place.List(func(r *place.Reader, value place.Value, text string) {
-		if slices.Contains(*to, text) {
+		if slices.Contains(*dst, text) {
 			r.Report(value, "each name once")
 			return
 		}
-		*to = append(*to, text)
+		*dst = append(*dst, text)
 	})
 }
--- a/pkg/schema/prefix_test.go
+++ b/pkg/schema/prefix_test.go
@@ -50,10 +50,10 @@
 		{"SHOP.example:8080", "/rope/", "rope"},
 		{"shop.example", "/rope", "all_of_shop"},
 		{"shop.example", "/", "all_of_shop"},
-		{"shop.example", "/rope/spools/3", "rope"}, // the host's own prefixes go first
+		{"shop.example", "/rope/spools/3", "rope"}, // prefixes declared for the host come first
 		{"other.example", "/rope/spools/3", "any_host"},
 		{"other.example", "/rope/3", ""},
-		{"shop.example", "/%72ope/7", "all_of_shop"}, // compared as it was sent
+		{"shop.example", "/%72ope/7", "all_of_shop"}, // the path is compared undecoded
 	} {
 		kind, ok := matcher.MatchPrefix(one.host, one.path)
 		is.Equal(ok, one.kind != "")
@@ -61,7 +61,7 @@
 			is.Equal(kind.Name, one.kind)
 		}
 	}
-	is.Equal(set.Kind("all_of_shop").Repeat, schema.Never) // not declared, and a prefix takes any method
+	is.Equal(set.Kind("all_of_shop").Repeat, schema.Never) // the default for a prefix, which accepts any method
 	is.Equal(set.Chain("all_of_shop"), []string{"stock", "stock_next"})
 	again, err := schema.Parse("document", set.Document())
 	is.NoErr(err)
--- a/pkg/schema/schema.go
+++ b/pkg/schema/schema.go
@@ -1,7 +1,8 @@
-// Package schema holds the resources that operators declare, as plain structs.
+// Package schema defines the resources that operators declare, and parses, validates and
+// compares sets of them.
 //
-// A set of resources is one document under version control. Its YAML form uses
-// snake_case keys, one resource per YAML document, told apart by `resource`:
+// A set of resources is meant to be kept under version control. In its YAML form, each
+// resource is one YAML document with snake_case keys, and the key `resource` gives its type:
 //
 //	resource: service
 //	name: allowances
@@ -17,36 +18,37 @@
 
 import "time"
 
-// Importance orders request kinds for refusal: the lowest is refused first.
+// Importance ranks request kinds under overload: the lowest is rejected first.
 type Importance uint8
 
-// Repeat says whether a request may run more than once.
+// Repeat determines whether a request may run more than once.
 type Repeat uint8
 
-// Service declares one service and what each of its targets can take.
+// Service declares a service and the capacity of each of its targets.
 type Service struct {
 	Name string
-	// Slots is how many calls one target works on at the same time.
+	// Slots is the number of calls that one target processes at the same time.
 	Slots int
-	// Connections is how many connections one target accepts.
+	// Connections is the number of connections that one target accepts.
 	Connections int
-	// Queue is how many calls may wait at the node beside one target.
+	// Queue is the number of calls that may wait at the node beside one target.
 	Queue int
-	// QueueWait is how long a call may wait there.
+	// QueueWait is the longest time that a call may wait in that queue.
 	QueueWait time.Duration
-	// ColdStart is the time over which a new target is ramped up to Slots.
+	// ColdStart is the time over which a new target's concurrency is raised to Slots.
 	ColdStart time.Duration
-	// RetryShare is the most that repeats may add to the service's calls, as
-	// a share of its completed calls.
+	// RetryShare is the retry budget of the service: the largest ratio of repeats to its
+	// completed calls.
 	RetryShare float64
-	// ShedStatus is the HTTP status by which the target says that it shed a
-	// call without running it.
+	// ShedStatus is the HTTP status with which a target answers a call that it shed
+	// without running it.
 	ShedStatus int
-	// HealthPath is the target's health endpoint, used as a hint; empty for none.
+	// HealthPath is the path of the target's health endpoint, whose answer serves only as
+	// a hint. It is empty if there is none.
 	HealthPath string
 }
 
-// Kind declares one kind of request.
+// Kind declares a kind of request: how to recognise it and how to handle it.
 type Kind struct {
 	Name       string
 	Service    string
@@ -55,61 +57,61 @@
 	Importance Importance
 	Repeat     Repeat
 	Deadline   time.Duration
-	// Retries is the number of repeats that one request of this kind may
-	// cost over its whole call chain.
+	// Retries is the number of repeats that one request of this kind may use over its
+	// whole call chain.
 	Retries int
-	// Calls names the kinds that the target calls while it serves this one.
+	// Calls lists the kinds that a target calls while it serves this one.
 	Calls []string
-	// Host and Prefix select requests by their Host header and the start of
-	// their path, in place of Method and Path. Of several prefixes of one host
-	// the longest wins. An empty Host stands for all hosts.
+	// Host and Prefix select requests by the Host header and the start of the path,
+	// instead of by Method and Path. The longest of several matching prefixes of one host
+	// wins. An empty Host matches all hosts.
 	Host   string
 	Prefix string
-	// Split distributes the requests among several services, in place of Service.
+	// Split distributes the requests among several services and replaces Service.
 	Split []Share
-	// Objective is the time within which an answer is of full use to its
-	// caller; 0 when none is declared.
+	// Objective is the response time up to which an answer is fully useful to the caller,
+	// or 0 if none is declared.
 	Objective time.Duration
 }
 
-// Share is one part of a split: the weight of a service among the others.
+// Share is the weight of one service in a split, relative to the other weights.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// DataCentre declares one data centre and how far the others are.
+// DataCentre declares a data centre and its network distance to the others.
 type DataCentre struct {
 	Name   string
 	Region string
-	// Distances holds the one-way time to other data centres by name.
+	// Distances maps the names of other data centres to the one-way network latency.
 	Distances map[string]time.Duration
 }
 
-// Limits declares the bounds that hold at every node.
+// Limits declares the limits that every node enforces.
 type Limits struct {
 	MaxRequestBytes int64
 	MaxAnswerBytes  int64
-	// MaxHeaderBytes bounds the head of a request, HeaderTimeout the time that it
-	// may take, and IdleTimeout that of a connection without a request.
+	// MaxHeaderBytes limits the size of a request's header, and HeaderTimeout the time to
+	// receive it. IdleTimeout limits how long a connection may stay open without a request.
 	MaxHeaderBytes int64
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
-	// HeldBytes bounds the memory for answers that are held until whole.
+	// HeldBytes limits the memory for answers that are buffered until they are complete.
 	HeldBytes int64
-	// RecordBytes bounds the memory for idempotency records.
+	// RecordBytes limits the memory for idempotency records.
 	RecordBytes int64
-	// KeyAge is how long an idempotency key is accepted after its minting.
+	// KeyAge is how long an idempotency key is accepted after it was minted.
 	KeyAge time.Duration
-	// OwnerLease is how far ahead the owners of idempotency keys are fixed.
+	// OwnerLease is how far in advance the owners of idempotency keys are fixed.
 	OwnerLease time.Duration
 	// ClockMargin is how far the clocks of hosts and callers may differ.
 	ClockMargin time.Duration
-	// KeptRevisions is how many of the latest revisions stay in the platform.
+	// KeptRevisions is the number of latest revisions that the platform keeps.
 	KeptRevisions int
 }
 
-// Set is everything that one firm declares.
+// Set is the complete configuration of one mesh.
 type Set struct {
 	Services    []Service
 	Kinds       []Kind
@@ -117,7 +119,7 @@
 	Limits      Limits
 }
 
-// The importances, from the first refused to the last.
+// Levels of importance, in the order in which requests are rejected.
 const (
 	Low Importance = iota
 	Normal
@@ -125,25 +127,25 @@
 	Critical
 )
 
-// The rules for repeating a request.
+// Rules for repeating a request.
 const (
-	// Safe requests may run again at any time.
+	// Safe requests may run any number of times.
 	Safe Repeat = iota
-	// Never requests run at most once.
+	// Never requests must run at most once.
 	Never
 )
 
-// String returns the importance as it is written in YAML.
+// String returns the importance as written in YAML.
 func (i Importance) String() string {
 	return [...]string{"low", "normal", "high", "critical"}[i&3]
 }
 
-// String returns the rule as it is written in YAML.
+// String returns the rule as written in YAML.
 func (r Repeat) String() string {
 	return [...]string{"safe", "never"}[r&1]
 }
 
-// Services returns the services that a kind's requests may go to.
+// Services returns the services that requests of the kind may be sent to.
 func (k *Kind) Services() []string {
 	if len(k.Split) == 0 {
 		return []string{k.Service}
@@ -155,7 +157,7 @@
 	return services
 }
 
-// Kind returns the declared kind of that name, or nil.
+// Kind returns the kind with the given name, or nil if it is not declared.
 func (s *Set) Kind(name string) *Kind {
 	for i := range s.Kinds {
 		if s.Kinds[i].Name == name {
@@ -165,7 +167,7 @@
 	return nil
 }
 
-// Service returns the declared service of that name, or nil.
+// Service returns the service with the given name, or nil if it is not declared.
 func (s *Set) Service(name string) *Service {
 	for i := range s.Services {
 		if s.Services[i].Name == name {
--- a/pkg/schema/schema_test.go
+++ b/pkg/schema/schema_test.go
@@ -10,8 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// TestParse runs the files under testdata/parse: `parse` prints the canonical
-// document, or every problem with its place.
+// TestParse runs the files under testdata/parse. The command `parse` prints the canonical
+// document, and `accept` prints ok; both print all problems of an invalid document with
+// their positions.
 func TestParse(t *testing.T) {
 	datadriven.Walk(t, "testdata/parse", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -27,8 +28,8 @@
 	})
 }
 
-// TestSet runs the files under testdata/set: `declare` sets the mesh, the other
-// commands ask it.
+// TestSet runs the files under testdata/set. The command `declare` replaces the set, `diff`
+// does so and prints the changes, and the other commands query the set.
 func TestSet(t *testing.T) {
 	datadriven.Walk(t, "testdata/set", func(t *testing.T, path string) {
 		set := &Set{Limits: DefaultLimits()}
@@ -88,7 +89,7 @@
 	is.Equal(len(set.Services), 1)
 	is.Equal(len(set.Kinds), 1)
 	_, err = ParseFiles("testdata/mesh/kinds.yaml")
-	is.True(err != nil) // the service stands in the other file
+	is.True(err != nil) // the service is declared in the other file
 	is.True(strings.HasPrefix(err.Error(), "testdata/mesh/kinds.yaml:3:10: service: expected a declared service"))
 }
 
@@ -100,11 +101,11 @@
 	is.True(found)
 	is.Equal(rest.Diff(set)[0].Action, Created)
 	_, found = set.Without(TypeService, "check_allowance")
-	is.True(!found) // the name belongs to a resource of another type
+	is.True(!found) // only a kind has this name
 }
 
-// FuzzParse looks for panics, and for sets that do not survive their own
-// canonical form.
+// FuzzParse looks for panics, and for sets that change when their canonical form is parsed
+// again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("resource: service\nname: a\nslots: 1\nconnections: 1\nretry_share: 1e-3\n"))
 	f.Add([]byte("resource: request_kind\nname: k\nservice: a\npath: /a/{b}\ncalls: [k]\n---\nresource: limits\nkey_age: 1h\n"))
