--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -1,16 +1,15 @@
-// Package caller sends requests to the nodes of a mesh on behalf of a Go
-// program.
+// Package caller is a Go client that sends requests to the nodes of a mesh.
 //
-// A Caller repeats only what is safe. A request that may never run twice goes
-// out under an idempotency key, and the key decides what a repeat may do:
+// A Caller repeats a request only where that is safe. A request that must not run twice is
+// sent with an idempotency key, and the result of an attempt determines the next one:
 //
-//	answer lost or unknown   the same key again: the record of its owner answers
-//	known not to have run    a new key, which draws another owner
-//	complete                 nothing is repeated
+//	answer lost or unknown   the same key again, answered from its owner's record
+//	known not to have run    a new key, which may have another owner
+//	complete                 no further attempt
 //
-// Nobody but the caller knows that a key was never sent before. It says so with
-// the first sending of each key, and then the nodes can answer "not run" where
-// they would have to answer "unknown" otherwise.
+// Only the caller knows that a key was never sent before. It marks the first attempt with
+// each key as fresh, so that nodes can answer "not run" where they would otherwise have to
+// answer "unknown".
 package caller
 
 import (
@@ -30,123 +29,127 @@
 )
 
 type (
-	// Caller sends requests to nodes. New makes one. It is safe for concurrent
-	// use as long as its fields are not changed after the first request.
+	// Caller sends requests to nodes. Use New to create one. It is safe for concurrent
+	// use as long as its fields do not change after the first request.
 	Caller struct {
-		// Nodes are the addresses of nodes as IP:port, one or more of any
-		// services. A request begins at one of them at random and goes to the
-		// next one with each repeat. Nodes that gave no answer come last for
-		// 5 s.
+		// Nodes holds the addresses of one or more nodes as IP:port. The nodes may
+		// belong to any services. A request starts at a random node and moves to the
+		// next one with each repeat. A node that did not answer is tried last for 5 s.
 		Nodes []string
-		// HTTP carries the requests. Its transport must not repeat requests by
-		// itself; the one of net/http does not repeat those of a Caller.
-		// Redirects are never followed: they belong to the target's answer.
+		// HTTP sends the requests. Its transport must not repeat requests on its own;
+		// that of net/http does not repeat those of a Caller. Redirects are never
+		// followed, because they are part of the target's answer.
 		HTTP *http.Client
-		// Retries is how often a request is repeated at most; 0 for never. A
-		// try at a node to which no connection could be opened is not a repeat.
+		// Retries is the largest number of repeats of a request; 0 means none. Moving
+		// on from a node to which no connection could be opened does not count, until
+		// every node has been tried.
 		Retries int
 		Backoff Backoff
-		// Deadline is the time for a request that states none.
+		// Deadline is the time allowed for a request that does not set its own.
 		Deadline time.Duration
-		// Timeout is the longest wait for the answer to one sending. With 0, a
-		// sending that may be repeated gets half the time left, so that a
-		// silent node leaves time for another one.
+		// Timeout is the longest time to wait for the answer to one attempt. If it is
+		// 0, an attempt that may be repeated gets half of the remaining time, so that
+		// time is left for another node if this one does not answer.
 		Timeout time.Duration
-		// MaxAnswerBytes bounds the body of an answer.
+		// MaxAnswerBytes limits the size of an answer's body.
 		MaxAnswerBytes int64
 		Clock          Clock
-		// Random returns numbers in [0, 1) and is called from the goroutines
-		// of all requests.
+		// Random returns numbers in [0, 1). It must be safe for concurrent use, because
+		// the goroutines of all requests call it.
 		Random func() float64
 
-		// withTimeout bounds one sending. Tests end it by hand.
+		// withTimeout limits the time of one attempt. Tests replace it to trigger the
+		// timeout themselves.
 		withTimeout func(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc)
 
 		mu    sync.Mutex
-		order order
+		order nodeOrder
 	}
 
-	// Backoff is the wait before a repeat. It doubles with each one and is
-	// then shortened at random by up to half. A longer Retry-After of a node is
-	// heeded instead, and lengthened at random by up to half.
+	// Backoff configures the exponential backoff between attempts. The delay starts at
+	// Base, doubles with each repeat up to Max, and is then reduced by a random jitter of
+	// up to half. A Retry-After from the node, increased by a random jitter of up to half,
+	// is used instead if it is longer.
 	Backoff struct {
 		Base time.Duration
 		Max  time.Duration
 	}
 
-	// Clock tells the time and makes timers.
+	// Clock returns the current time and creates timers.
 	Clock interface {
 		Now() time.Time
 		After(d time.Duration) <-chan time.Time
 	}
 
-	// Repeat says whether a request may run more than once.
+	// Repeat determines whether a request may run more than once.
 	Repeat uint8
 
 	// Request is one request to a service.
 	Request struct {
-		// Method is the HTTP method; empty stands for GET.
+		// Method is the HTTP method. The default is GET.
 		Method string
-		// Path begins with a slash and may end in a query.
+		// Path starts with a slash and may include a query.
 		Path string
-		// Header is sent along. The headers of the mesh in it are replaced, but
-		// for Dandelion-Context: a target that calls another service copies it
-		// from the call that it serves, and names only its own node in Nodes.
+		// Header holds additional headers. Headers of the mesh are replaced, except for
+		// Dandelion-Context: a target that calls another service copies that header
+		// from the call that it serves, and lists only its own node in Nodes.
 		Header http.Header
 		Body   []byte
 		Repeat Repeat
-		// Deadline is the time for the request with all its repeats. It only
-		// ever shortens the declared one. 0 stands for the caller's.
+		// Deadline is the time allowed for the request including all repeats. It can
+		// only shorten the deadline declared for the kind. 0 means the caller's Deadline.
 		Deadline time.Duration
-		// Key is the idempotency key of an earlier request, a UUIDv7 in lower
-		// case, to ask what became of that one. It counts as sent before and is
-		// never replaced. Empty stands for a key that is minted when needed.
+		// Key is the idempotency key of an earlier request, a UUIDv7 in lower case, and
+		// is used to learn the result of that request. It is treated as sent before and
+		// never replaced. If it is empty, a key is minted when one is needed.
 		Key string
 	}
 
-	// Answer is what became of a request. Without an error it is the target's
-	// whole answer. With one, Status, Header and Body are what a node sent with
-	// the code, and zero when the code is the caller's own.
+	// Answer is the result of a request. If Do returned no error, it is the target's
+	// complete answer. Otherwise Status, Header and Body are those that a node sent with
+	// the code, or zero if the caller itself determined the code.
 	Answer struct {
-		// Code is the conclusion over all sendings of the request: the code
-		// that a node sent, or the caller's own when none arrived.
+		// Code is the overall result of all attempts: a code that a node sent, or one
+		// that the caller determined because no code arrived.
 		Code result.Code
-		// Refusal is why the last sending was refused where the code is
-		// RepeatRefused, else 0.
+		// Refusal is the reason why the last attempt was rejected if Code is
+		// RepeatRefused, and otherwise 0.
 		Refusal result.Code
-		// Replayed says that the answer is the recorded one of an earlier run.
+		// Replayed is set if the answer is the recorded one of an earlier run.
 		Replayed bool
 		Status   int
 		Header   http.Header
 		Body     []byte
-		// Key is the last idempotency key; empty when there was none. After an
-		// unknown result a request with this key asks again.
+		// Key is the last idempotency key, or empty if none was used. After an unknown
+		// result, a request with this key asks for the result again.
 		Key string
-		// RequestID is the node's id for the request, as found in its logs.
+		// RequestID is the ID of the request in the node's logs.
 		RequestID string
-		// Node is the address that the answer came from or should have.
+		// Node is the address of the node that answered or should have answered.
 		Node string
-		// Sendings is how often the request was sent or tried to be sent.
+		// Sendings is the number of attempts, including those that could not connect.
 		Sendings int
-		// Detail says in words why no answer arrived; empty when one did.
+		// Detail describes why no complete answer arrived. It is empty if one did.
 		Detail string
 	}
 
 	systemClock struct{}
 )
 
-// The rules for repeating a request. They should match the declared ones: a
-// request that is Safe here runs as often as it is sent, whatever is declared.
+// Rules for repeating a request. The rule should match the one declared for the kind: no key
+// is minted for a request that is Safe here, so it runs as often as it is sent, whatever the
+// declaration says.
 const (
-	// ByMethod makes GET, HEAD and OPTIONS safe and every other method never.
+	// ByMethod stands for Safe if the method is GET, HEAD or OPTIONS, and otherwise for
+	// Never.
 	ByMethod Repeat = iota
-	// Safe requests may run again at any time.
+	// Safe requests may run any number of times.
 	Safe
-	// Never requests run at most once.
+	// Never requests must run at most once.
 	Never
 )
 
-// Headers between callers and nodes.
+// HTTP headers that callers and nodes exchange.
 const (
 	contextHeader  = "Dandelion-Context"
 	keyHeader      = "Idempotency-Key"
@@ -165,25 +168,27 @@
 	defaultMaxAnswerBytes = 4 << 20
 	dialTimeout           = 500 * time.Millisecond
 	idleTimeout           = 30 * time.Second
-	// idlePerNode is how many idle connections to one node are kept.
+	// idlePerNode is the largest number of idle connections kept to each node.
 	idlePerNode = 64
 )
 
 var (
 	namespace = errorx.NewNamespace("caller")
-	// InvalidRequest means that the request could not be formed and was not
-	// sent: no nodes, a path without a slash, a key that is not a UUIDv7.
+	// InvalidRequest means that the request is invalid and was not sent. The causes include
+	// an empty list of nodes, a path that does not start with a slash, and a key that is
+	// not a UUIDv7.
 	InvalidRequest = namespace.NewType("invalid_request")
-	// NotRun means that no sending of the request ran anywhere. The answer's
-	// code says why.
+	// NotRun means that no attempt of the request ran anywhere. The answer's code gives the
+	// reason.
 	NotRun = namespace.NewType("not_run")
-	// Unknown means that the request ran or may have run, without a whole
-	// answer. The answer's code says why.
+	// Unknown means that the request ran or may have run, but there is no complete answer.
+	// The answer's code gives the reason.
 	Unknown = namespace.NewType("unknown")
 )
 
-// New returns a caller for nodes at IP:port with two repeats, a deadline of
-// 10 s, answers of up to 4 MiB and connections of its own.
+// New returns a Caller for the nodes at the given IP:port addresses. It allows 2 repeats, a
+// deadline of 10 s and answers of up to 4 MiB, and does not share connections with other
+// callers.
 func New(nodes []string) *Caller {
 	return &Caller{
 		Nodes:          nodes,
@@ -198,41 +203,41 @@
 	}
 }
 
-// Do sends the request and repeats it where that is safe and can help. It
-// returns InvalidRequest, NotRun or Unknown, and no error for a whole answer of
-// the target, whatever its HTTP status. With Request.Key, it never returns NotRun:
-// an earlier sending of the key may have run.
+// Do sends the request and repeats it where that is safe and can help. A complete answer
+// of the target is not an error, whatever its HTTP status. Otherwise the error is of type
+// InvalidRequest, NotRun or Unknown. If Request.Key is set, Do never returns NotRun, because
+// an earlier request with the same key may have run.
 func (c *Caller) Do(ctx context.Context, request Request) (Answer, error) {
-	if err := c.check(&request); err != nil {
+	if err := c.prepare(&request); err != nil {
 		return Answer{Code: result.BadRequest}, err
 	}
-	course := c.newCourse(ctx, request)
+	state := c.newRetryState(ctx, request)
 	answer := Answer{Key: request.Key}
 	for {
-		if code := c.stopped(ctx, course.deadline); code != 0 {
+		if code := c.stopCode(ctx, state.deadline); code != 0 {
 			answer.Code = answer.Code.Then(code)
-			answer = course.concluded(answer)
-			return answer, failure(answer)
+			answer = state.finalAnswer(answer)
+			return answer, answerError(answer)
 		}
-		sending := course.next(c.Clock.Now())
-		newest, outcome := c.send(ctx, request, sending)
-		answer = later(answer, newest)
-		c.heard(sending.node, outcome)
-		delay, again := course.ended(c.Clock.Now(), outcome)
-		if !again || !c.pause(ctx, delay) {
-			answer = course.concluded(answer)
-			return answer, failure(answer)
+		next := state.next(c.Clock.Now())
+		newest, outcome := c.send(ctx, request, next)
+		answer = mergeAnswers(answer, newest)
+		c.recordNode(next.node, outcome)
+		delay, again := state.recordAttempt(c.Clock.Now(), outcome)
+		if !again || !c.wait(ctx, delay) {
+			answer = state.finalAnswer(answer)
+			return answer, answerError(answer)
 		}
 	}
 }
 
-// check fills in what the request leaves open and refuses what cannot be sent.
-func (c *Caller) check(request *Request) error {
+// prepare sets the defaults of the request and returns an error if it cannot be sent.
+func (c *Caller) prepare(request *Request) error {
 	if request.Method == "" {
 		request.Method = http.MethodGet
 	}
 	if request.Repeat == ByMethod {
-		request.Repeat = repeatOf(request.Method)
+		request.Repeat = defaultRepeat(request.Method)
 	}
 	if request.Deadline <= 0 {
 		request.Deadline = c.Deadline
@@ -243,7 +248,7 @@
 	if !strings.HasPrefix(request.Path, "/") {
 		return InvalidRequest.New("the path %q does not begin with a slash", request.Path)
 	}
-	if _, err := c.form(context.Background(), *request, sending{node: c.Nodes[0]}); err != nil {
+	if _, err := c.newHTTPRequest(context.Background(), *request, attempt{node: c.Nodes[0]}); err != nil {
 		return InvalidRequest.Wrap(err, "form the request")
 	}
 	if request.Key == "" {
@@ -256,50 +261,51 @@
 	return nil
 }
 
-func (c *Caller) newCourse(ctx context.Context, request Request) *course {
+func (c *Caller) newRetryState(ctx context.Context, request Request) *retryState {
 	deadline := c.Clock.Now().Add(request.Deadline)
 	if own, ok := ctx.Deadline(); ok && own.Before(deadline) {
 		deadline = own
 	}
-	course := &course{
-		nodes:    c.ordered(),
+	state := &retryState{
+		nodes:    c.orderedNodes(),
 		repeat:   request.Repeat,
 		retries:  c.Retries,
 		backoff:  c.Backoff,
 		timeout:  c.Timeout,
 		deadline: deadline,
 		key:      request.Key,
-		given:    request.Key != "",
+		keyGiven: request.Key != "",
 		mint:     mintKey,
 		random:   c.Random,
 	}
 	if request.Header.Get(contextHeader) != "" {
-		course.inherited = true
+		state.nested = true
 	}
-	return course
+	return state
 }
 
-// ordered returns the nodes in the order in which a new request tries them.
-func (c *Caller) ordered() []string {
+// orderedNodes returns the nodes in the order in which a new request tries them, starting
+// at a random one.
+func (c *Caller) orderedNodes() []string {
 	position := int(c.Random() * float64(len(c.Nodes)))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.order.nodes(c.Clock.Now(), c.Nodes, position)
+	return c.order.sorted(c.Clock.Now(), c.Nodes, position)
 }
 
-// heard notes whether a node gave an answer. That the caller itself went away
-// says nothing of the node.
-func (c *Caller) heard(node string, o outcome) {
+// recordNode records whether a node answered. Cancelled attempts are ignored, because they
+// reveal nothing about the node.
+func (c *Caller) recordNode(node string, o outcome) {
 	if o.code == result.Cancelled || o.code == result.CancelledLate {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.order.ended(c.Clock.Now(), node, o.answered)
+	c.order.recordAttempt(c.Clock.Now(), node, o.answered)
 }
 
-// pause waits out a delay and says whether the request goes on.
-func (c *Caller) pause(ctx context.Context, delay time.Duration) bool {
+// wait waits for the delay and reports whether the request may continue.
+func (c *Caller) wait(ctx context.Context, delay time.Duration) bool {
 	if delay <= 0 {
 		return ctx.Err() == nil
 	}
@@ -311,17 +317,19 @@
 	}
 }
 
-// later joins the newest answer to the conclusion so far.
-func later(former, newest Answer) Answer {
-	sendings := former.Sendings + 1
-	if former.Code.Then(newest.Code) != newest.Code {
-		newest = former
+// mergeAnswers returns the overall answer after another attempt: previous or newest,
+// whichever Code.Then selects, with the number of attempts increased by one.
+func mergeAnswers(previous, newest Answer) Answer {
+	sendings := previous.Sendings + 1
+	if previous.Code.Then(newest.Code) != newest.Code {
+		newest = previous
 	}
 	newest.Sendings = sendings
 	return newest
 }
 
-func failure(answer Answer) error {
+// answerError returns the error that Do reports for an answer, or nil if it is complete.
+func answerError(answer Answer) error {
 	switch answer.Code.Family() {
 	case result.Complete:
 		return nil
@@ -331,9 +339,9 @@
 	return Unknown.New("%s: %s", answer.Code, answer.Detail)
 }
 
-// stopped returns the code for a request that has no time left for a sending,
-// or 0.
-func (c *Caller) stopped(ctx context.Context, deadline time.Time) result.Code {
+// stopCode returns the code for a request that was cancelled or has no time left for
+// another attempt, and otherwise 0.
+func (c *Caller) stopCode(ctx context.Context, deadline time.Time) result.Code {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return result.Cancelled
@@ -343,7 +351,7 @@
 	return 0
 }
 
-func repeatOf(method string) Repeat {
+func defaultRepeat(method string) Repeat {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 		return Safe
@@ -364,12 +372,12 @@
 	}
 }
 
-// Now returns the host's time.
+// Now returns the current time of the host.
 func (systemClock) Now() time.Time {
 	return time.Now()
 }
 
-// After returns a channel that receives the time once d has passed.
+// After returns a channel that receives the time after d has passed.
 func (systemClock) After(d time.Duration) <-chan time.Time {
 	return time.After(d)
 }
--- a/pkg/caller/caller_test.go
+++ b/pkg/caller/caller_test.go
@@ -18,14 +18,14 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// mesh plays the answers of a script, whichever node is asked, and writes down
-// what arrived.
-type mesh struct {
+// fakeMesh answers requests to any of its nodes with the next line of a script, and logs
+// the requests that arrive. It is also the clock of the caller under test.
+type fakeMesh struct {
 	t      *testing.T
 	caller *Caller
 
 	mu      sync.Mutex
-	play    []string
+	script  []string
 	log     strings.Builder
 	keys    map[string]string
 	now     time.Time
@@ -34,14 +34,14 @@
 	cancel  context.CancelFunc
 }
 
-// nobody is an address at which nothing listens.
-const nobody = "127.0.0.1:1"
+// closedAddress is an address without a listener.
+const closedAddress = "127.0.0.1:1"
 
-func newMesh(t *testing.T, nodes []datadriven.CmdArg) *mesh {
-	m := &mesh{t: t, keys: map[string]string{}, now: time.UnixMilli(1_700_000_000_000)}
+func newFakeMesh(t *testing.T, nodes []datadriven.CmdArg) *fakeMesh {
+	m := &fakeMesh{t: t, keys: map[string]string{}, now: time.UnixMilli(1_700_000_000_000)}
 	addresses := make([]string, 0, len(nodes))
 	for i, node := range nodes {
-		address := nobody
+		address := closedAddress
 		if node.Key == "up" {
 			address = m.listen("n" + strconv.Itoa(i+1))
 		}
@@ -56,45 +56,45 @@
 	return m
 }
 
-func (m *mesh) listen(name string) string {
+func (m *fakeMesh) listen(name string) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// A server notices that a caller is gone only after the whole body.
+		// An HTTP server notices a closed connection only after it has read the body.
 		_, _ = io.Copy(io.Discard, r.Body)
-		m.arrived(name, r)
+		m.logRequest(name, r)
 		m.answer(w, r)
 	}))
 	m.t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func (m *mesh) Now() time.Time {
+func (m *fakeMesh) Now() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.now
 }
 
-// After fires at once and moves the time on: only backoffs wait on the clock.
-func (m *mesh) After(d time.Duration) <-chan time.Time {
+// After advances the time and fires at once. Only backoffs wait on this clock.
+func (m *fakeMesh) After(d time.Duration) <-chan time.Time {
 	m.advance(d)
-	m.note("wait %v\n", d)
+	m.logf("wait %v\n", d)
 	fired := make(chan time.Time, 1)
 	fired <- m.Now()
 	return fired
 }
 
-func (m *mesh) note(format string, args ...any) {
+func (m *fakeMesh) logf(format string, args ...any) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	fmt.Fprintf(&m.log, format, args...)
 }
 
-func (m *mesh) advance(d time.Duration) {
+func (m *fakeMesh) advance(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.now = m.now.Add(d)
 }
 
-func (m *mesh) withTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
+func (m *fakeMesh) withTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	ctx, m.expire = context.WithCancel(ctx)
@@ -102,7 +102,7 @@
 	return ctx, m.expire
 }
 
-func (m *mesh) arrived(name string, r *http.Request) {
+func (m *fakeMesh) logRequest(name string, r *http.Request) {
 	line := fmt.Sprintf("%s %s %s", name, r.Method, r.URL.RequestURI())
 	if key := r.Header.Get(keyHeader); key != "" {
 		line += " key=" + m.keyName(key)
@@ -110,10 +110,10 @@
 	if r.Header.Get(freshHeader) != "" {
 		line += " fresh"
 	}
-	m.note("%s left=%s\n", line, r.Header.Get(deadlineHeader))
+	m.logf("%s left=%s\n", line, r.Header.Get(deadlineHeader))
 }
 
-func (m *mesh) keyName(key string) string {
+func (m *fakeMesh) keyName(key string) string {
 	if key == "" {
 		return "none"
 	}
@@ -125,21 +125,22 @@
 	return m.keys[key]
 }
 
-// line takes the next line of the script.
-func (m *mesh) line() []string {
+// nextLine removes and returns the next line of the script.
+func (m *fakeMesh) nextLine() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.play) == 0 {
+	if len(m.script) == 0 {
 		m.t.Errorf("a sending that the script does not expect")
 		panic(http.ErrAbortHandler)
 	}
-	fields := strings.Fields(m.play[0])
-	m.play = m.play[1:]
+	fields := strings.Fields(m.script[0])
+	m.script = m.script[1:]
 	return fields
 }
 
-// end ends what the caller waits with: the sending or the whole request.
-func (m *mesh) end(silent bool) {
+// endWait ends the caller's wait for an answer. If silent is set, the attempt times out;
+// otherwise the request is cancelled.
+func (m *fakeMesh) endWait(silent bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if silent {
@@ -150,9 +151,11 @@
 	m.cancel()
 }
 
-// answer plays the next line: a code's name, or what happens to the connection.
-func (m *mesh) answer(w http.ResponseWriter, r *http.Request) {
-	fields := m.line()
+// answer answers as the next line of the script says. The line starts with the name of a
+// code, or with an event: silent, caller_gone or lost. Any other word gives an answer
+// without a code.
+func (m *fakeMesh) answer(w http.ResponseWriter, r *http.Request) {
+	fields := m.nextLine()
 	code, known := result.Parse(fields[0])
 	status, body, length := http.StatusOK, "whole", 0
 	for _, field := range fields[1:] {
@@ -177,7 +180,7 @@
 	}
 	switch {
 	case fields[0] == "silent", fields[0] == "caller_gone":
-		m.end(fields[0] == "silent")
+		m.endWait(fields[0] == "silent")
 		<-r.Context().Done()
 	case fields[0] == "lost":
 		panic(http.ErrAbortHandler)
@@ -189,7 +192,7 @@
 	_, _ = w.Write([]byte(body))
 }
 
-func (m *mesh) do(d *datadriven.TestData) string {
+func (m *fakeMesh) do(d *datadriven.TestData) string {
 	request := Request{Path: "/orders", Header: http.Header{}}
 	for _, arg := range d.CmdArgs {
 		value := strings.Join(arg.Vals, "")
@@ -215,24 +218,24 @@
 	m.mu.Lock()
 	m.cancel = cancel
 	m.log.Reset()
-	m.play = strings.FieldsFunc(d.Input, func(r rune) bool { return r == '\n' })
+	m.script = strings.FieldsFunc(d.Input, func(r rune) bool { return r == '\n' })
 	m.mu.Unlock()
 	answer, err := m.caller.Do(ctx, request)
 	code := answer.Code.String()
 	if answer.Refusal != 0 {
 		code += "(" + answer.Refusal.String() + ")"
 	}
-	m.note("= %s %s sendings=%d key=%s", code, answer.Code.Family(), answer.Sendings, m.keyName(answer.Key))
+	m.logf("= %s %s sendings=%d key=%s", code, answer.Code.Family(), answer.Sendings, m.keyName(answer.Key))
 	if answer.Status != 0 {
-		m.note(" status=%d body=%s", answer.Status, answer.Body)
+		m.logf(" status=%d body=%s", answer.Status, answer.Body)
 	}
 	if answer.Replayed {
-		m.note(" replayed")
+		m.logf(" replayed")
 	}
 	if typed := errorx.Cast(err); typed != nil {
-		m.note(" error=%s", typed.Type().FullName())
+		m.logf(" error=%s", typed.Type().FullName())
 	}
-	m.note("%s", strings.Repeat("\nan answer was not played", len(m.play)))
+	m.logf("%s", strings.Repeat("\nan answer was not played", len(m.script)))
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.log.String() + "\n"
@@ -240,11 +243,11 @@
 
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
-		var m *mesh
+		var m *fakeMesh
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
 			case "nodes":
-				m = newMesh(t, d.CmdArgs)
+				m = newFakeMesh(t, d.CmdArgs)
 				return ""
 			case "retries":
 				m.caller.Retries, _ = strconv.Atoi(d.CmdArgs[0].Key)
--- a/pkg/caller/course.go
+++ b/pkg/caller/course.go
@@ -8,183 +8,186 @@
 )
 
 type (
-	// course decides where a request goes next, under which key, and when it
-	// ends. It only computes: the time and the outcomes are passed in.
-	course struct {
+	// retryState is the state machine that decides to which node a request is sent next,
+	// with which key, and when to stop. It does no I/O and reads no clock: the time and
+	// the outcomes of attempts are passed in.
+	retryState struct {
 		nodes []string
-		// position is the index of the next node.
-		position int
+		// nextNode is the index in nodes of the next node to try.
+		nextNode int
 		repeat   Repeat
 		retries  int
 		backoff  Backoff
 		timeout  time.Duration
 		deadline time.Time
-		// inherited is set for the call of a target that serves another one. The
-		// mesh repeats such calls out of the request's own retry tokens, and
-		// only the target's own node knows it by its context.
-		inherited bool
-		mint      func() string
-		random    func() float64
-
-		// key is the current key; empty when there is none yet.
+		// nested is set for a call that a target makes while it serves another call. It
+		// is not repeated here, because the mesh repeats such calls and pays for them
+		// with the retry tokens of the original request. Other nodes are not tried
+		// either, because only the target's own node knows the request's context.
+		nested bool
+		mint   func() string
+		random func() float64
+
+		// key is the current idempotency key, or empty if there is none yet.
 		key string
-		// given is set when the key came with the request.
-		given bool
-		// keySent is set once the key may have left the caller.
+		// keyGiven is set if the request came with a key.
+		keyGiven bool
+		// keySent is set once the current key may have left the caller.
 		keySent bool
-		// unknown is set once a sending may have run. The key is kept from
-		// then on, whatever later sendings say.
-		unknown bool
-		repeats int
-		// unsent counts the nodes in a row that nothing could be sent to.
-		unsent int
+		// mayHaveRun is set once an attempt may have run. From then on the key is kept,
+		// whatever the outcome of later attempts.
+		mayHaveRun bool
+		repeats    int
+		// consecutiveUnsent counts consecutive attempts that could not send anything.
+		consecutiveUnsent int
 	}
 
-	// sending is one try to send the request.
-	sending struct {
+	// attempt holds the parameters of one attempt to send the request.
+	attempt struct {
 		node string
-		// key is the idempotency key; empty for none.
+		// key is the idempotency key, or empty if there is none.
 		key string
-		// fresh is set when the key was never sent before.
+		// fresh is set if the key was never sent before.
 		fresh bool
 		// timeout is how long to wait for the answer.
 		timeout time.Duration
-		// left is the time that the node is told.
-		left time.Duration
+		// timeLeft is the time left that is announced to the node.
+		timeLeft time.Duration
 	}
 
-	// outcome is what a sending showed.
+	// outcome is the outcome of one attempt.
 	outcome struct {
 		code result.Code
-		// refusal is why the sending was refused, with RepeatRefused.
+		// refusal is the reason why the attempt was rejected if code is RepeatRefused.
 		refusal result.Code
-		// sent is set when bytes of the request may have left the caller.
+		// sent is set if bytes of the request may have left the caller.
 		sent bool
-		// answered is set when the node began an answer.
+		// answered is set if the node started to answer.
 		answered bool
-		// retryAfter is how long the node asks to wait; 0 when it doesn't.
+		// retryAfter is the delay that the node asked for, or 0 if it asked for none.
 		retryAfter time.Duration
 	}
 )
 
 const (
-	// waitShare is the part of the time left that a sending gets while
-	// another one may follow.
-	waitShare = 0.5
-	// minJitter is the least part of a backoff that is waited.
-	minJitter = 0.5
-	// retryAfterSpread is the most by which Retry-After is lengthened.
+	// attemptTimeShare is the share of the remaining time that an attempt gets if another
+	// one may follow.
+	attemptTimeShare = 0.5
+	// minBackoffShare is the smallest share of a backoff that jitter leaves.
+	minBackoffShare = 0.5
+	// retryAfterSpread is the largest share of Retry-After that jitter adds to it.
 	retryAfterSpread = 0.5
-	// maxAnswerTime and answerShare bound the time that a node's answer gets
-	// to travel back. The node is told a deadline that is earlier by it, so
-	// that its result arrives before the caller gives up.
-	maxAnswerTime = 100 * time.Millisecond
-	answerShare   = 0.1
+	// maxResponseMargin and responseMarginShare limit the time reserved for the node's
+	// answer to travel back. The deadline announced to the node is earlier by this margin,
+	// so that its result arrives before the caller gives up.
+	maxResponseMargin   = 100 * time.Millisecond
+	responseMarginShare = 0.1
 )
 
-// next returns the sending to make now.
+// next returns the attempt to make now.
 //
-// The fresh flag goes with the first sending of each key:
+// Only the first attempt with each key is marked as fresh:
 //
 //	key 1, fresh -> door_closed, not run
 //	key 2, fresh -> connection lost
 //	key 2        -> replayed
-func (c *course) next(now time.Time) sending {
-	if c.repeat == Never && c.key == "" {
-		c.key = c.mint()
-		c.keySent = false
+func (s *retryState) next(now time.Time) attempt {
+	if s.repeat == Never && s.key == "" {
+		s.key = s.mint()
+		s.keySent = false
 	}
-	left := c.deadline.Sub(now)
+	left := s.deadline.Sub(now)
 	timeout := left
-	if c.repeats < c.bound() {
-		timeout = time.Duration(waitShare * float64(left))
+	if s.repeats < s.maxRetries() {
+		timeout = time.Duration(attemptTimeShare * float64(left))
 	}
-	if c.timeout > 0 {
-		timeout = min(left, c.timeout)
+	if s.timeout > 0 {
+		timeout = min(left, s.timeout)
 	}
-	told := timeout
-	if c.key != "" {
-		// A run under a key goes on when this sending is given up, and the
-		// next one joins it.
-		told = left
+	announced := timeout
+	if s.key != "" {
+		// A run with a key continues after the caller gives up this attempt, and the
+		// next attempt waits for the same run.
+		announced = left
 	}
-	return sending{
-		node:    c.nodes[c.position%len(c.nodes)],
-		key:     c.key,
-		fresh:   c.key != "" && !c.given && !c.keySent,
-		timeout: timeout,
-		left:    told - answerTime(told),
+	return attempt{
+		node:     s.nodes[s.nextNode%len(s.nodes)],
+		key:      s.key,
+		fresh:    s.key != "" && !s.keyGiven && !s.keySent,
+		timeout:  timeout,
+		timeLeft: announced - responseMargin(announced),
 	}
 }
 
-// ended takes in what the last sending showed. It returns whether to send
-// again, and how long to wait before.
-func (c *course) ended(now time.Time, o outcome) (time.Duration, bool) {
-	c.keySent = c.keySent || o.sent
-	c.unknown = c.unknown || o.code.Family() == result.Unknown
-	if o.code.Family() == result.Complete || !c.helps(o.reason()) {
+// recordAttempt records the outcome of the last attempt. It returns whether to make another
+// attempt, and how long to wait before it.
+func (s *retryState) recordAttempt(now time.Time, o outcome) (time.Duration, bool) {
+	s.keySent = s.keySent || o.sent
+	s.mayHaveRun = s.mayHaveRun || o.code.Family() == result.Unknown
+	if o.code.Family() == result.Complete || !s.canRetry(o.reason()) {
 		return 0, false
 	}
-	c.position = (c.position + 1) % len(c.nodes)
-	if !o.sent && c.anotherNode() {
-		return 0, now.Before(c.deadline)
+	s.nextNode = (s.nextNode + 1) % len(s.nodes)
+	if !o.sent && s.tryNextNode() {
+		return 0, now.Before(s.deadline)
 	}
-	c.unsent = 0
-	if c.repeats >= c.bound() {
+	s.consecutiveUnsent = 0
+	if s.repeats >= s.maxRetries() {
 		return 0, false
 	}
-	c.repeats++
-	if c.keySent && !c.unknown && !c.given {
-		// All sendings of the key are known not to have run.
-		c.key = ""
+	s.repeats++
+	if s.keySent && !s.mayHaveRun && !s.keyGiven {
+		// All attempts with this key are known not to have run.
+		s.key = ""
 	}
-	delay := c.delay(o.retryAfter)
-	return delay, now.Add(delay).Before(c.deadline)
+	delay := s.delay(o.retryAfter)
+	return delay, now.Add(delay).Before(s.deadline)
 }
 
-// anotherNode says whether a request that could not be sent has a node left
-// in this round. Such a try is no repeat: the request reached nobody.
-func (c *course) anotherNode() bool {
-	c.unsent++
-	return !c.inherited && c.unsent < len(c.nodes)
+// tryNextNode counts an attempt that could not be sent, and reports whether this round has
+// a node left to try. Trying it does not count as a repeat, because the request has not
+// reached any node.
+func (s *retryState) tryNextNode() bool {
+	s.consecutiveUnsent++
+	return !s.nested && s.consecutiveUnsent < len(s.nodes)
 }
 
-// bound is how often the request may be repeated.
-func (c *course) bound() int {
-	if c.inherited {
+// maxRetries returns how often the request may be repeated.
+func (s *retryState) maxRetries() int {
+	if s.nested {
 		return 0
 	}
-	return c.retries
+	return s.retries
 }
 
-// helps says whether sending the request again can end better.
-func (c *course) helps(code result.Code) bool {
+// canRetry reports whether another attempt after the given code may have a better result.
+func (s *retryState) canRetry(code result.Code) bool {
 	switch code {
 	case result.UnknownKind, result.KeyInvalid, result.KeyFromFuture, result.BodyTooLarge,
 		result.Cancelled, result.BadRequest:
 		return false
 	case result.KeyTooOld:
-		return !c.given && !c.unknown
+		return !s.keyGiven && !s.mayHaveRun
 	case result.TargetFailed, result.AnswerTooLarge, result.OwnerGone, result.KeyReused, result.Forgotten, result.CancelledLate:
 		return false
 	case result.PartlyRun:
-		// The owner has recorded the key as lost and has no answer to give.
-		return c.repeat == Safe
+		// The owner has recorded the key as lost and has no answer to replay.
+		return s.repeat == Safe
 	}
 	return true
 }
 
-// concluded keeps "not run" from a request whose key came with it: an earlier
-// sending of the key, which is not known here, may have run.
-func (c *course) concluded(answer Answer) Answer {
-	if c.given && answer.Code.Family() == result.NotRun {
+// finalAnswer replaces a NotRun code by RepeatRefused if the request came with a key,
+// because an earlier request with the same key, unknown here, may have run.
+func (s *retryState) finalAnswer(answer Answer) Answer {
+	if s.keyGiven && answer.Code.Family() == result.NotRun {
 		answer.Refusal = answer.Code
 		answer.Code = result.RepeatRefused
 	}
 	return answer
 }
 
-// reason is the code that says why a sending did not end well.
+// reason returns the code that explains why an attempt did not succeed.
 func (o outcome) reason() result.Code {
 	if o.code == result.RepeatRefused && o.refusal != 0 {
 		return o.refusal
@@ -192,13 +195,17 @@
 	return o.code
 }
 
-func (c *course) delay(retryAfter time.Duration) time.Duration {
-	doubled := float64(c.backoff.Base) * math.Exp2(float64(c.repeats-1))
-	backoff := min(doubled, float64(c.backoff.Max)) * (minJitter + (1-minJitter)*c.random())
-	asked := float64(retryAfter) * (1 + retryAfterSpread*c.random())
+// delay returns the time to wait before the next repeat: the backoff with jitter, or the
+// node's Retry-After with jitter if that is longer.
+func (s *retryState) delay(retryAfter time.Duration) time.Duration {
+	doubled := float64(s.backoff.Base) * math.Exp2(float64(s.repeats-1))
+	backoff := min(doubled, float64(s.backoff.Max)) * (minBackoffShare + (1-minBackoffShare)*s.random())
+	asked := float64(retryAfter) * (1 + retryAfterSpread*s.random())
 	return time.Duration(max(backoff, asked))
 }
 
-func answerTime(told time.Duration) time.Duration {
-	return min(maxAnswerTime, time.Duration(answerShare*float64(told)))
+// responseMargin returns the part of the announced time that is reserved for the answer to
+// travel back.
+func responseMargin(announced time.Duration) time.Duration {
+	return min(maxResponseMargin, time.Duration(responseMarginShare*float64(announced)))
 }
--- a/pkg/caller/example_test.go
+++ b/pkg/caller/example_test.go
@@ -10,15 +10,15 @@
 	"github.com/dandelionfield/dandelionfield/pkg/caller"
 )
 
-// A franchisee's collection is recorded once, although the first answer is
-// lost: the repeat goes out with the same key and brings the recorded answer.
+// The request runs once although its first answer is lost: the repeat has the same key and
+// returns the recorded answer.
 func ExampleCaller_Do() {
 	seen := map[string]bool{}
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key := r.Header.Get("Idempotency-Key")
 		if !seen[key] {
 			seen[key] = true
-			panic(http.ErrAbortHandler) // the work is done, the connection breaks
+			panic(http.ErrAbortHandler) // the request has run, but the connection breaks
 		}
 		w.Header().Set("Dandelion-Code", "101")
 		_, _ = fmt.Fprint(w, "30 eggs recorded")
--- a/pkg/caller/order.go
+++ b/pkg/caller/order.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// order keeps in mind which nodes gave no answer, so that requests begin at
-// others for a while. It is not safe for concurrent use.
-type order struct {
-	until map[string]time.Time
+// nodeOrder remembers which nodes did not answer recently, so that requests try other nodes
+// first. It is not safe for concurrent use.
+type nodeOrder struct {
+	// avoidUntil maps the address of a node to the time until which it is tried last.
+	avoidUntil map[string]time.Time
 }
 
-// avoidTime is how long a node that gave no answer comes after the others.
+// avoidTime is how long a node that did not answer is tried last.
 const avoidTime = 5 * time.Second
 
-// nodes returns all nodes, beginning at the position and going round, with
-// those that gave no answer lately after the others.
-func (o *order) nodes(now time.Time, nodes []string, position int) []string {
+// sorted returns all nodes, starting at the position and wrapping around. Nodes that did
+// not answer recently come after the others.
+func (o *nodeOrder) sorted(now time.Time, nodes []string, position int) []string {
 	sorted := make([]string, 0, len(nodes))
 	var avoided []string
 	for i := range nodes {
 		node := nodes[(position+i)%len(nodes)]
-		if now.Before(o.until[node]) {
+		if now.Before(o.avoidUntil[node]) {
 			avoided = append(avoided, node)
 			continue
 		}
@@ -27,14 +28,14 @@
 	return append(sorted, avoided...)
 }
 
-// ended takes in whether a node gave an answer, be it a refusal.
-func (o *order) ended(now time.Time, node string, answered bool) {
+// recordAttempt records whether a node answered. A rejection counts as an answer.
+func (o *nodeOrder) recordAttempt(now time.Time, node string, answered bool) {
 	if answered {
-		delete(o.until, node)
+		delete(o.avoidUntil, node)
 		return
 	}
-	if o.until == nil {
-		o.until = map[string]time.Time{}
+	if o.avoidUntil == nil {
+		o.avoidUntil = map[string]time.Time{}
 	}
-	o.until[node] = now.Add(avoidTime)
+	o.avoidUntil[node] = now.Add(avoidTime)
 }
--- a/pkg/caller/send.go
+++ b/pkg/caller/send.go
@@ -16,30 +16,30 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// send makes one sending and waits for its whole answer.
-func (c *Caller) send(ctx context.Context, request Request, s sending) (Answer, outcome) {
-	answer := Answer{Key: s.key, Node: s.node}
-	limited, cancel := c.withTimeout(ctx, s.timeout)
+// send makes one attempt and waits for its complete answer.
+func (c *Caller) send(ctx context.Context, request Request, a attempt) (Answer, outcome) {
+	answer := Answer{Key: a.key, Node: a.node}
+	attemptCtx, cancel := c.withTimeout(ctx, a.timeout)
 	defer cancel()
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	formed, err := c.form(httptrace.WithClientTrace(limited, trace), request, s)
+	httpRequest, err := c.newHTTPRequest(httptrace.WithClientTrace(attemptCtx, trace), request, a)
 	if err != nil {
 		answer.Code = result.BadRequest
 		answer.Detail = err.Error()
 		return answer, outcome{code: answer.Code}
 	}
-	response, err := c.client().Do(formed)
+	response, err := c.client().Do(httpRequest)
 	if err != nil {
-		sent := connected.Load() || !refused(err)
-		answer.Code = interrupted(ctx, limited, sent)
+		sent := connected.Load() || !isDialError(err)
+		answer.Code = failureCode(ctx, attemptCtx, sent)
 		answer.Detail = err.Error()
 		return answer, outcome{code: answer.Code, sent: sent}
 	}
 	defer response.Body.Close()
-	body, code, detail := c.read(response)
+	body, code, detail := c.readAnswer(response)
 	if code == 0 {
-		code = interrupted(ctx, limited, true)
+		code = failureCode(ctx, attemptCtx, true)
 	}
 	answer.Code = code
 	answer.Detail = detail
@@ -51,41 +51,41 @@
 		answer.Body = body
 	}
 	answer.Refusal, _ = result.Parse(response.Header.Get(refusalHeader))
-	wait := retryAfter(response.Header.Get("Retry-After"), c.Clock.Now())
+	wait := parseRetryAfter(response.Header.Get("Retry-After"), c.Clock.Now())
 	return answer, outcome{code: code, refusal: answer.Refusal, sent: true, answered: true, retryAfter: wait}
 }
 
-// form makes the HTTP request of one sending.
-func (c *Caller) form(ctx context.Context, request Request, s sending) (*http.Request, error) {
-	// The body's type hides that it could be read again, so that net/http never
-	// repeats the request by itself: the repeat would claim a fresh key too.
+// newHTTPRequest returns the HTTP request of one attempt.
+func (c *Caller) newHTTPRequest(ctx context.Context, request Request, a attempt) (*http.Request, error) {
+	// The wrapper hides that the body can be rewound, so that net/http never repeats the
+	// request on its own. Such a repeat would again mark its key as fresh.
 	body := io.NopCloser(struct{ io.Reader }{bytes.NewReader(request.Body)})
-	formed, err := http.NewRequestWithContext(ctx, request.Method, "http://"+s.node+request.Path, body)
+	httpRequest, err := http.NewRequestWithContext(ctx, request.Method, "http://"+a.node+request.Path, body)
 	if err != nil {
 		return nil, err
 	}
-	formed.ContentLength = int64(len(request.Body))
+	httpRequest.ContentLength = int64(len(request.Body))
 	if request.Header != nil {
-		formed.Header = request.Header.Clone()
+		httpRequest.Header = request.Header.Clone()
 	}
-	header := formed.Header
+	header := httpRequest.Header
 	header.Del(keyHeader)
 	header.Del(freshHeader)
-	header.Set(deadlineHeader, s.left.String())
+	header.Set(deadlineHeader, a.timeLeft.String())
 	if header.Get("Accept-Encoding") == "" {
-		// A transport that unpacked the answer would hide its length.
+		// A transport that decompressed the answer would hide its length.
 		header.Set("Accept-Encoding", "identity")
 	}
-	if s.key != "" {
-		header.Set(keyHeader, s.key)
+	if a.key != "" {
+		header.Set(keyHeader, a.key)
 	}
-	if s.fresh {
+	if a.fresh {
 		header.Set(freshHeader, "true")
 	}
-	return formed, nil
+	return httpRequest, nil
 }
 
-// client is the caller's HTTP client without redirects.
+// client returns a copy of the caller's HTTP client that does not follow redirects.
 func (c *Caller) client() *http.Client {
 	client := *c.HTTP
 	client.CheckRedirect = func(*http.Request, []*http.Request) error {
@@ -94,19 +94,21 @@
 	return &client
 }
 
-// read takes the body whole and returns it with the node's code. Otherwise it
-// returns a code of the caller's own with the reason in words. The code is 0
-// when the connection broke.
-func (c *Caller) read(response *http.Response) ([]byte, result.Code, string) {
+// readAnswer reads the whole body and returns it with the node's code. If the answer is not
+// complete, it returns no body and a detail that describes the reason, with a code that the
+// caller determined. The code is 0 if the connection broke. A NotRun code of the node is
+// kept, because it does not depend on the body.
+func (c *Caller) readAnswer(response *http.Response) ([]byte, result.Code, string) {
 	number, err := strconv.ParseUint(response.Header.Get(codeHeader), 10, 16)
 	code := result.Code(number)
 	if err != nil || code.Family() < result.Complete || code.Family() > result.Unknown {
 		return nil, result.Lost, "the answer has no " + codeHeader
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, c.MaxAnswerBytes+1))
-	failed, detail := c.fault(response, body, err)
+	failed, detail := c.checkBody(response, body, err)
 	if detail != "" && code.Family() == result.NotRun {
-		// The headers have said it all; only the explanation is missing.
+		// The headers already state that the request did not run, and the body would only
+		// explain why.
 		return nil, code, detail
 	}
 	if detail != "" {
@@ -115,9 +117,9 @@
 	return body, code, ""
 }
 
-// fault says what keeps an answer from being whole; the detail is empty when
-// nothing does.
-func (c *Caller) fault(response *http.Response, body []byte, err error) (result.Code, string) {
+// checkBody returns the code and a description of what makes an answer incomplete. The
+// description is empty if the answer is complete, and the code is 0 if the connection broke.
+func (c *Caller) checkBody(response *http.Response, body []byte, err error) (result.Code, string) {
 	switch {
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return result.AnswerTruncated, fmt.Sprintf("%d of %d bytes arrived", len(body), response.ContentLength)
@@ -125,21 +127,21 @@
 		return 0, err.Error()
 	case int64(len(body)) > c.MaxAnswerBytes:
 		return result.AnswerTooLarge, fmt.Sprintf("the answer is longer than %d bytes", c.MaxAnswerBytes)
-	case !bounded(response):
+	case !hasDelimitedBody(response):
 		return result.AnswerTruncated, "the answer has no length"
 	}
 	return 0, ""
 }
 
-// bounded says whether the end of the answer's body can be told from the end
-// of its connection.
-func bounded(response *http.Response) bool {
+// hasDelimitedBody reports whether the end of the answer's body can be distinguished from a
+// closed connection.
+func hasDelimitedBody(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0 ||
 		response.ProtoMajor > 1 || response.Request.Method == http.MethodHead
 }
 
-// interrupted returns the code for a sending without a whole answer.
-func interrupted(ctx, limited context.Context, sent bool) result.Code {
+// failureCode returns the code for an attempt without a complete answer.
+func failureCode(ctx, attemptCtx context.Context, sent bool) result.Code {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		if sent {
@@ -148,20 +150,20 @@
 		return result.Cancelled
 	case !sent:
 		return result.Unreachable
-	case limited.Err() != nil:
+	case attemptCtx.Err() != nil:
 		return result.TimedOut
 	}
 	return result.Lost
 }
 
-// refused says whether an error proves that no connection could be opened.
-func refused(err error) bool {
+// isDialError reports whether an error proves that no connection could be opened.
+func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// retryAfter reads seconds or an HTTP date, and returns 0 for anything else.
-func retryAfter(text string, now time.Time) time.Duration {
+// parseRetryAfter parses seconds or an HTTP date, and returns 0 for anything else.
+func parseRetryAfter(text string, now time.Time) time.Duration {
 	if seconds, err := strconv.Atoi(text); err == nil {
 		return time.Duration(max(seconds, 0)) * time.Second
 	}
