--- a/pkg/result/result.go
+++ b/pkg/result/result.go
@@ -1,39 +1,39 @@
-// Package result lists the numbered result codes that callers receive.
+// Package result defines the numbered result codes that callers receive.
 //
-// A code belongs to one of three families, and its first digit names it:
+// The first digit of a code gives its family:
 //
-//	1xx  complete: the answer is whole and the request's own
-//	2xx  not run: the request ran nowhere, repeating it is safe
-//	3xx  unknown or failed: the request ran, or may have run
+//	1xx  complete: the answer is complete and belongs to this request
+//	2xx  not run: the request did not run anywhere, so repeating it is safe
+//	3xx  unknown or failed: the request ran or may have run
 package result
 
 import "strconv"
 
-// Family groups codes by what a caller may conclude about execution.
+// Family groups codes by whether the request ran.
 type Family uint8
 
-// Code is a numbered result.
+// Code is a result code, as sent in the header Dandelion-Code.
 type Code uint16
 
-// Info describes one code in words.
+// Info describes one code.
 type Info struct {
 	Code    Code
 	Name    string
 	Meaning string
 	Advice  string
-	// Status is the HTTP status a node sends with the code when the target
-	// gave none of its own.
+	// Status is the HTTP status that a node sends with the code when there is no status
+	// from the target.
 	Status int
 }
 
-// The families of codes.
+// The families, numbered by the first digit of their codes.
 const (
 	Complete Family = 1
 	NotRun   Family = 2
 	Unknown  Family = 3
 )
 
-// The codes. Numbers are never given to another meaning.
+// The result codes. A number is never reused with a different meaning.
 const (
 	OK       Code = 100
 	Replayed Code = 101
@@ -122,15 +122,14 @@
 
 var byCode = index()
 
-// Family returns the family that the code belongs to.
+// Family returns the family of the code.
 func (c Code) Family() Family {
 	return Family(c / 100)
 }
 
-// Then returns what a caller may conclude of a request that it sent several
-// times, from the conclusion so far and the newest code. A code of the family
-// NotRun speaks of the sending that it answers. It does not take back that an
-// earlier sending may have run:
+// Then combines the result so far of a request that was sent several times with the newest
+// code, and returns the overall result. A NotRun code describes only the attempt that it
+// answers, so it does not replace an earlier Unknown code: the earlier attempt may have run.
 //
 //	Lost, then Overloaded   Lost
 //	Overloaded, then Lost   Lost
@@ -142,13 +141,13 @@
 	return newest
 }
 
-// Info returns the description of the code and whether the code is known.
+// Info returns the description of the code, and whether the code is defined.
 func (c Code) Info() (Info, bool) {
 	info, ok := byCode[c]
 	return info, ok
 }
 
-// String returns the code's name, or its number when it has none.
+// String returns the code's name, or its number if the code is not defined.
 func (c Code) String() string {
 	if info, ok := byCode[c]; ok {
 		return info.Name
@@ -156,7 +155,7 @@
 	return strconv.Itoa(int(c))
 }
 
-// String returns the family's name as used in the docs.
+// String returns the family's name as used in the documentation.
 func (f Family) String() string {
 	switch f {
 	case Complete:
@@ -169,12 +168,13 @@
 	return "family_" + strconv.Itoa(int(f))
 }
 
-// All returns every code in order.
+// All returns the descriptions of all codes in ascending order.
 func All() []Info {
 	return append([]Info(nil), table...)
 }
 
-// Parse finds a code by number or name.
+// Parse returns the code with the given number or name, and whether such a code is defined.
+// For an undefined number from 1 to 999 it still returns that number as the code.
 func Parse(text string) (Code, bool) {
 	if number, err := strconv.Atoi(text); err == nil && number > 0 && number < 1000 {
 		_, ok := byCode[Code(number)]
