--- a/internal/ahead/ahead.go
+++ b/internal/ahead/ahead.go
@@ -1,10 +1,10 @@
-// Package ahead serves HTTP/1.1 connections on which callers may send further
-// requests before the first has its answer.
+// Package ahead serves HTTP/1.1 connections with pipelining: callers may send further
+// requests before the first is answered.
 //
-// Safe requests of one connection run side by side, and their answers go out in
-// the order in which they were sent. The connection is read all the while, so
-// that a caller that leaves ends its work at once, also with requests still in
-// line. Parsing is that of net/http.
+// Safe requests of one connection run concurrently, and their answers are sent in the
+// order of the requests. The connection is read the whole time, so that a caller that
+// disconnects cancels its requests at once, including those still waiting. Requests are
+// parsed by net/http.
 package ahead
 
 import (
@@ -20,14 +20,14 @@
 )
 
 type (
-	// Answer is a whole answer to one request.
+	// Answer is a complete answer to one request.
 	Answer struct {
 		Status int
 		Header http.Header
 		Body   []byte
 	}
 
-	// Bounds limit what a caller may send and how long it may take.
+	// Bounds limit what a caller may send and how long sending may take.
 	Bounds struct {
 		HeaderBytes   int64
 		BodyBytes     int64
@@ -36,38 +36,39 @@
 		IdleTimeout time.Duration
 	}
 
-	// Server serves the connections of one listener. Its fields are set before
-	// Serve; its methods are safe for concurrent use.
+	// Server serves the connections of one listener. Its fields are set before Serve; its
+	// methods are safe for concurrent use.
 	Server struct {
-		// Handle answers a request whose body is whole. The context ends when the
-		// caller leaves. A nil answer closes the connection without one.
+		// Handle answers a request whose body has been read completely. The context ends
+		// when the caller disconnects. A nil answer closes the connection without an
+		// answer.
 		Handle func(ctx context.Context, request *http.Request) *Answer
-		// Refuse makes the answer to a request that could not be read.
+		// Refuse returns the answer to a request that could not be read.
 		Refuse func(status int, reason string) *Answer
 		// Bounds returns the bounds in force.
 		Bounds func() Bounds
 		Log    hclog.Logger
 
-		leaving  atomic.Bool
-		requests atomic.Int64
-		// taken counts the requests that were read so far.
-		taken    atomic.Int64
-		mu       sync.Mutex
-		closed   bool
-		listener net.Listener
-		conns    map[*conn]struct{}
-		// arrived is when the last request came, in Unix nanoseconds.
-		arrived atomic.Int64
+		noKeepAlive atomic.Bool
+		inFlight    atomic.Int64
+		// requestsRead counts the requests that have been read so far.
+		requestsRead atomic.Int64
+		mu           sync.Mutex
+		closed       bool
+		listener     net.Listener
+		conns        map[*conn]struct{}
+		// lastArrival is when the last request arrived, in Unix nanoseconds.
+		lastArrival atomic.Int64
 	}
 )
 
-// shutdownPoll is the time between two looks at whether requests have ended.
+// shutdownPoll is the interval at which Shutdown checks for requests in flight.
 const shutdownPoll = 5 * time.Millisecond
 
 // ErrClosed is what Serve returns after Close.
 var ErrClosed = errors.New("ahead: server closed")
 
-// Serve accepts connections until Close or an error of the listener.
+// Serve accepts connections until Close or a permanent error of the listener.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
 	s.listener = listener
@@ -102,33 +103,33 @@
 	}
 }
 
-// Leave lets every connection end with the answer to its next request.
+// Leave closes every connection after the answer to its next request.
 func (s *Server) Leave() {
-	s.leaving.Store(true)
+	s.noKeepAlive.Store(true)
 }
 
-// Busy returns how many requests are under way, answers that are being written
-// among them.
+// Busy returns the number of requests in flight, including those whose answers are being
+// written.
 func (s *Server) Busy() int {
-	return int(s.requests.Load())
+	return int(s.inFlight.Load())
 }
 
 // Taken returns how many requests have been read so far.
 func (s *Server) Taken() int64 {
-	return s.taken.Load()
+	return s.requestsRead.Load()
 }
 
-// LastRequest returns when the last request arrived, the zero time before any.
+// LastRequest returns when the last request arrived, or the zero time before the first.
 func (s *Server) LastRequest() time.Time {
-	nanos := s.arrived.Load()
+	nanos := s.lastArrival.Load()
 	if nanos == 0 {
 		return time.Time{}
 	}
 	return time.Unix(0, nanos)
 }
 
-// Shutdown stops accepting, and closes all connections once the requests under way
-// have their answers, or when the context ends.
+// Shutdown stops accepting, and closes all connections once the requests in flight have
+// been answered or the context ends.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.closeListener()
 	for s.Busy() > 0 && ctx.Err() == nil {
--- a/internal/ahead/ahead_test.go
+++ b/internal/ahead/ahead_test.go
@@ -18,29 +18,29 @@
 	"github.com/dandelionfield/dandelionfield/internal/ahead"
 )
 
-// reply is the head of an answer.
-type reply struct {
+// answerHead is the head of an answer.
+type answerHead struct {
 	StatusCode    int
 	ContentLength int64
 	Close         bool
 }
 
-type play struct {
+type testServer struct {
 	server  *ahead.Server
 	address string
-	// release holds back the request of a path until something is sent.
-	release map[string]chan struct{}
-	began   chan string
-	ended   chan string
-	runs    atomic.Int64
+	// holds blocks the requests of a path until something is sent on its channel.
+	holds     map[string]chan struct{}
+	started   chan string
+	cancelled chan string
+	runs      atomic.Int64
 }
 
-// begin serves with a handler that echoes method, path and body.
-func begin(t *testing.T, bounds ahead.Bounds, held ...string) *play {
+// startServer serves with a handler that echoes method, path and body.
+func startServer(t *testing.T, bounds ahead.Bounds, held ...string) *testServer {
 	t.Helper()
-	p := &play{release: map[string]chan struct{}{}, began: make(chan string, 100), ended: make(chan string, 100)}
+	p := &testServer{holds: map[string]chan struct{}{}, started: make(chan string, 100), cancelled: make(chan string, 100)}
 	for _, path := range held {
-		p.release[path] = make(chan struct{}, 10)
+		p.holds[path] = make(chan struct{}, 10)
 	}
 	p.server = &ahead.Server{
 		Handle: p.handle,
@@ -60,14 +60,14 @@
 	return p
 }
 
-func (p *play) handle(ctx context.Context, request *http.Request) *ahead.Answer {
+func (p *testServer) handle(ctx context.Context, request *http.Request) *ahead.Answer {
 	p.runs.Add(1)
-	p.began <- request.URL.Path
-	if hold := p.release[request.URL.Path]; hold != nil {
+	p.started <- request.URL.Path
+	if hold := p.holds[request.URL.Path]; hold != nil {
 		select {
 		case <-hold:
 		case <-ctx.Done():
-			p.ended <- request.URL.Path + " cancelled"
+			p.cancelled <- request.URL.Path + " cancelled"
 			return nil
 		}
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-func (p *play) dial(t *testing.T) (net.Conn, *bufio.Reader) {
+func (p *testServer) dial(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.address)
 	if err != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-func answer(t *testing.T, reader *bufio.Reader) (reply, string) {
+func readAnswer(t *testing.T, reader *bufio.Reader) (answerHead, string) {
 	t.Helper()
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
@@ -108,81 +108,83 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return reply{response.StatusCode, response.ContentLength, response.Close}, string(body)
+	return answerHead{response.StatusCode, response.ContentLength, response.Close}, string(body)
 }
 
 func get(path string) string {
 	return "GET " + path + " HTTP/1.1\r\nHost: shop.example\r\n\r\n"
 }
 
-var wide = ahead.Bounds{HeaderBytes: 4 << 10, BodyBytes: 1 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: 5 * time.Second}
+var defaultBounds = ahead.Bounds{HeaderBytes: 4 << 10, BodyBytes: 1 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: 5 * time.Second}
 
-// Safe requests run side by side, and their answers keep the order.
+// Safe requests run concurrently, and their answers are sent in the order of the
+// requests.
 func TestAnswersKeepTheOrderOfTheRequests(t *testing.T) {
 	is := is.New(t)
-	p := begin(t, wide, "/slow")
+	p := startServer(t, defaultBounds, "/slow")
 	conn, reader := p.dial(t)
 	send(t, conn, get("/slow")+get("/fast?x=1")+get("/last"))
 	seen := map[string]bool{}
 	for range 3 {
-		seen[<-p.began] = true
+		seen[<-p.started] = true
 	}
-	is.Equal(len(seen), 3) // all have begun, while the first waits
-	p.release["/slow"] <- struct{}{}
+	is.Equal(len(seen), 3) // all have started while the first is blocked
+	p.holds["/slow"] <- struct{}{}
 	for _, path := range []string{"/slow", "/fast?x=1", "/last"} {
-		response, body := answer(t, reader)
+		response, body := readAnswer(t, reader)
 		is.Equal(body, "GET "+path+" ")
 		is.Equal(response.ContentLength, int64(len(body)))
 		is.True(!response.Close)
 	}
 }
 
-// A request that may change something waits for those before it.
+// A request that is not safe waits for the requests before it.
 func TestUnsafeRequestWaitsForItsTurn(t *testing.T) {
 	is := is.New(t)
-	p := begin(t, wide, "/slow")
+	p := startServer(t, defaultBounds, "/slow")
 	conn, reader := p.dial(t)
 	send(t, conn, get("/slow")+"POST /order HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nrop\r\n1\r\ne\r\n0\r\n\r\n")
-	is.Equal(<-p.began, "/slow")
+	is.Equal(<-p.started, "/slow")
 	select {
-	case path := <-p.began:
+	case path := <-p.started:
 		t.Fatalf("%s began too early", path)
 	case <-time.After(50 * time.Millisecond):
 	}
-	p.release["/slow"] <- struct{}{}
-	is.Equal(<-p.began, "/order")
-	_, first := answer(t, reader)
-	_, second := answer(t, reader)
+	p.holds["/slow"] <- struct{}{}
+	is.Equal(<-p.started, "/order")
+	_, first := readAnswer(t, reader)
+	_, second := readAnswer(t, reader)
 	is.Equal(first, "GET /slow ")
 	is.Equal(second, "POST /order rope")
 }
 
-// A caller that leaves ends its work, also with further requests in line.
+// A caller that disconnects cancels all its requests, including those further back in the
+// pipeline.
 func TestCallerThatLeavesEndsItsWork(t *testing.T) {
 	is := is.New(t)
-	p := begin(t, wide, "/one", "/two")
+	p := startServer(t, defaultBounds, "/one", "/two")
 	conn, _ := p.dial(t)
 	send(t, conn, get("/one")+get("/two"))
-	<-p.began
-	<-p.began
+	<-p.started
+	<-p.started
 	_ = conn.Close()
-	ended := map[string]bool{<-p.ended: true, <-p.ended: true}
+	ended := map[string]bool{<-p.cancelled: true, <-p.cancelled: true}
 	is.True(ended["/one cancelled"] && ended["/two cancelled"])
 }
 
-// Once the server leaves, the next request is the last of its connection, and
-// what was sent behind it is not run.
-func TestLeavingClosesWithTheNextAnswer(t *testing.T) {
+// After Leave, the next request is the last of its connection, and requests sent after it
+// are not run.
+func TestLeaveClosesConnectionAfterTheNextAnswer(t *testing.T) {
 	is := is.New(t)
-	p := begin(t, wide, "/slow")
+	p := startServer(t, defaultBounds, "/slow")
 	conn, reader := p.dial(t)
 	send(t, conn, get("/before"))
-	response, _ := answer(t, reader)
+	response, _ := readAnswer(t, reader)
 	is.True(!response.Close)
 	p.server.Leave()
 	send(t, conn, get("/slow")+get("/behind"))
-	p.release["/slow"] <- struct{}{}
-	response, body := answer(t, reader)
+	p.holds["/slow"] <- struct{}{}
+	response, body := readAnswer(t, reader)
 	is.True(response.Close)
 	is.Equal(body, "GET /slow ")
 	_, err := reader.ReadByte()
@@ -206,10 +208,10 @@
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			is := is.New(t)
-			p := begin(t, wide)
+			p := startServer(t, defaultBounds)
 			conn, reader := p.dial(t)
 			send(t, conn, one.request)
-			response, _ := answer(t, reader)
+			response, _ := readAnswer(t, reader)
 			is.Equal(response.StatusCode, one.status)
 			is.True(response.Close)
 			is.Equal(p.runs.Load(), int64(0))
@@ -219,27 +221,27 @@
 
 func TestSlowHeaderTimesOut(t *testing.T) {
 	is := is.New(t)
-	narrow := wide
+	narrow := defaultBounds
 	narrow.HeaderTimeout = 50 * time.Millisecond
-	p := begin(t, narrow)
+	p := startServer(t, narrow)
 	conn, reader := p.dial(t)
 	send(t, conn, "GET / HTTP/1.1\r\nHo")
-	response, _ := answer(t, reader)
+	response, _ := readAnswer(t, reader)
 	is.Equal(response.StatusCode, http.StatusRequestTimeout)
 }
 
-// The idle timeout runs from the last answer, not while a request is under way.
+// The idle timeout starts with the last answer and does not run during a request.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	is := is.New(t)
-	narrow := wide
+	narrow := defaultBounds
 	narrow.IdleTimeout = 100 * time.Millisecond
-	p := begin(t, narrow, "/slow")
+	p := startServer(t, narrow, "/slow")
 	conn, reader := p.dial(t)
 	send(t, conn, get("/slow"))
-	<-p.began
+	<-p.started
 	time.Sleep(3 * narrow.IdleTimeout)
-	p.release["/slow"] <- struct{}{}
-	_, body := answer(t, reader)
+	p.holds["/slow"] <- struct{}{}
+	_, body := readAnswer(t, reader)
 	is.Equal(body, "GET /slow ")
 	_, err := reader.ReadByte()
 	is.Equal(err, io.EOF)
@@ -247,7 +249,7 @@
 
 func TestBodyIsAskedForWhenTheCallerHoldsItBack(t *testing.T) {
 	is := is.New(t)
-	p := begin(t, wide)
+	p := startServer(t, defaultBounds)
 	conn, reader := p.dial(t)
 	send(t, conn, "POST /order HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n")
 	line, err := reader.ReadString('\n')
@@ -255,6 +257,6 @@
 	is.Equal(line, "HTTP/1.1 100 Continue\r\n")
 	_, _ = reader.ReadString('\n')
 	send(t, conn, "rope")
-	_, body := answer(t, reader)
+	_, body := readAnswer(t, reader)
 	is.Equal(body, "POST /order rope")
 }
--- a/internal/ahead/conn.go
+++ b/internal/ahead/conn.go
@@ -19,118 +19,120 @@
 	conn struct {
 		server *Server
 		raw    net.Conn
-		source *metered
+		input  *limitedReader
 		reader *bufio.Reader
 		ctx    context.Context
-		leave  context.CancelFunc
+		cancel context.CancelFunc
 
 		mu sync.Mutex
-		// line holds the requests that have no answer on the wire yet, in the
-		// order in which they were sent.
-		line []*place
-		// moved is signalled when the line becomes shorter.
-		moved *sync.Cond
+		// pipeline holds the requests whose answers have not been written yet, in the
+		// order of their arrival.
+		pipeline []*pendingRequest
+		// advanced is signalled when the pipeline becomes shorter.
+		advanced *sync.Cond
 		// writing is set while one goroutine writes answers.
 		writing bool
 		broken  bool
-		// finished is set once the last answer is on the wire.
-		finished bool
-		// idle is the wait for the next request, 0 while one is being read.
-		idle time.Duration
+		// writeClosed is set once the last answer has been written.
+		writeClosed bool
+		// idleTimeout bounds the wait for the next request. It is 0 while a request is
+		// being read.
+		idleTimeout time.Duration
 	}
 
-	// place is one request's place in the line.
-	place struct {
+	// pendingRequest is one request in the pipeline.
+	pendingRequest struct {
 		answer *Answer
 		done   bool
-		// last is set when the connection ends with this answer.
-		last bool
-		// bodyless is set for a HEAD request.
-		bodyless bool
+		// closeAfter is set if the connection closes after this answer.
+		closeAfter bool
+		// headOnly is set for a HEAD request.
+		headOnly bool
 	}
 )
 
 const (
-	// maxAhead bounds the requests of one connection that run side by side.
-	maxAhead = 32
-	// bodyTimeout is the least time that a body may take.
+	// maxPipelined bounds the unanswered requests of one connection.
+	maxPipelined = 32
+	// bodyTimeout is the least time that a caller is given to send a body.
 	bodyTimeout = 10 * time.Second
 	// writeTimeout bounds how long a caller may take to read one answer.
 	writeTimeout = 10 * time.Second
-	// lingerTimeout is how long a closed connection is still read, since bytes
-	// that stay unread would reset it and take the last answer along.
+	// lingerTimeout is how long the connection is read after its last answer. Closing a
+	// connection with unread bytes would reset it, and the caller could lose that answer.
 	lingerTimeout = time.Second
-	// acceptPause is the wait after an accept that failed for want of descriptors.
-	acceptPause = 20 * time.Millisecond
-	readBuffer  = 4 << 10
-	// headRoom is the memory, in bytes, that is taken for the head of an answer.
-	headRoom = 512
+	// acceptPause is the wait after an accept that failed for lack of file descriptors.
+	acceptPause     = 20 * time.Millisecond
+	readBufferBytes = 4 << 10
+	// headCapacity is the memory, in bytes, that is allocated for the head of an answer.
+	headCapacity = 512
 )
 
 func newConn(server *Server, raw net.Conn) *conn {
-	c := &conn{server: server, raw: raw, source: &metered{raw: raw}}
-	c.reader = bufio.NewReaderSize(c.source, readBuffer)
-	c.ctx, c.leave = context.WithCancel(context.Background())
-	c.moved = sync.NewCond(&c.mu)
+	c := &conn{server: server, raw: raw, input: &limitedReader{raw: raw}}
+	c.reader = bufio.NewReaderSize(c.input, readBufferBytes)
+	c.ctx, c.cancel = context.WithCancel(context.Background())
+	c.advanced = sync.NewCond(&c.mu)
 	return c
 }
 
-// run reads requests until the caller leaves or the connection is to end.
+// run reads requests until the caller disconnects or the connection is to be closed.
 func (c *conn) run() {
 	defer c.server.remove(c)
 	defer func() { _ = c.raw.Close() }()
-	defer c.abandon()
+	defer c.cancelRequests()
 	for {
-		request, refused := c.read()
+		request, refused := c.readRequest()
 		if request == nil {
 			if refused != nil && refused.status != 0 {
 				c.refuse(refused)
-				c.drain()
+				c.discardInput()
 			}
 			return
 		}
-		if c.take(request) {
-			c.drain()
+		if c.start(request) {
+			c.discardInput()
 			return
 		}
 	}
 }
 
-// take starts a request, and says whether it is the last of its connection. A
-// request that may change something waits for those before it.
-func (c *conn) take(request *http.Request) bool {
+// start runs a request and reports whether it is the last of its connection. A request
+// that is not safe waits until all requests before it are answered.
+func (c *conn) start(request *http.Request) bool {
 	c.mu.Lock()
-	for !c.broken && (len(c.line) >= maxAhead || len(c.line) > 0 && !sideBySide(request.Method)) {
-		c.moved.Wait()
+	for !c.broken && (len(c.pipeline) >= maxPipelined || len(c.pipeline) > 0 && !isSafeMethod(request.Method)) {
+		c.advanced.Wait()
 	}
-	last := request.Close || c.server.leaving.Load() || !request.ProtoAtLeast(1, 1)
-	p := &place{last: last, bodyless: request.Method == http.MethodHead}
-	c.line = append(c.line, p)
+	last := request.Close || c.server.noKeepAlive.Load() || !request.ProtoAtLeast(1, 1)
+	p := &pendingRequest{closeAfter: last, headOnly: request.Method == http.MethodHead}
+	c.pipeline = append(c.pipeline, p)
 	c.mu.Unlock()
-	c.server.arrived.Store(time.Now().UnixNano())
-	c.server.requests.Add(1)
-	c.server.taken.Add(1)
+	c.server.lastArrival.Store(time.Now().UnixNano())
+	c.server.inFlight.Add(1)
+	c.server.requestsRead.Add(1)
 	crew.Go(func() {
-		defer c.server.requests.Add(-1)
-		c.end(p, c.server.Handle(c.ctx, request))
+		defer c.server.inFlight.Add(-1)
+		c.complete(p, c.server.Handle(c.ctx, request))
 	})
 	return last
 }
 
-func sideBySide(method string) bool {
+func isSafeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
 func (c *conn) refuse(refused *refusal) {
-	p := &place{last: true}
+	p := &pendingRequest{closeAfter: true}
 	c.mu.Lock()
-	c.line = append(c.line, p)
+	c.pipeline = append(c.pipeline, p)
 	c.mu.Unlock()
-	c.end(p, c.server.Refuse(refused.status, refused.reason))
+	c.complete(p, c.server.Refuse(refused.status, refused.reason))
 }
 
-// end notes the answer, and writes what is due in the order of the line.
-func (c *conn) end(p *place, answer *Answer) {
+// complete records the answer, and writes all answers that are due in the order of the
+// pipeline.
+func (c *conn) complete(p *pendingRequest, answer *Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.answer = answer
@@ -139,58 +141,58 @@
 		return
 	}
 	c.writing = true
-	for len(c.line) > 0 && c.line[0].done {
-		first := c.line[0]
+	for len(c.pipeline) > 0 && c.pipeline[0].done {
+		first := c.pipeline[0]
 		c.mu.Unlock()
-		whole := !c.gone() && c.write(first)
+		whole := !c.isBroken() && c.writeAnswer(first)
 		c.mu.Lock()
-		c.line = c.line[1:]
+		c.pipeline = c.pipeline[1:]
 		if !whole {
-			c.breakOff()
+			c.breakLocked()
 		}
-		c.moved.Broadcast()
-		if first.last {
+		c.advanced.Broadcast()
+		if first.closeAfter {
 			break
 		}
 	}
 	c.writing = false
-	if len(c.line) == 0 && c.idle > 0 && !c.broken {
-		_ = c.raw.SetReadDeadline(time.Now().Add(c.idle))
+	if len(c.pipeline) == 0 && c.idleTimeout > 0 && !c.broken {
+		_ = c.raw.SetReadDeadline(time.Now().Add(c.idleTimeout))
 	}
 }
 
-func (c *conn) gone() bool {
+func (c *conn) isBroken() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.broken
 }
 
-// breakOff closes a connection on which no further answer can go out. The lock
-// is held.
-func (c *conn) breakOff() {
+// breakLocked marks the connection as broken, as no further answer can be written, and
+// ends its requests and reads. c.mu must be held.
+func (c *conn) breakLocked() {
 	c.broken = true
-	c.leave()
+	c.cancel()
 	_ = c.raw.SetReadDeadline(time.Now())
 }
 
-// abandon ends the work for a caller that has left.
-func (c *conn) abandon() {
+// cancelRequests cancels the requests of a caller that has disconnected.
+func (c *conn) cancelRequests() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.broken = true
-	c.leave()
-	c.moved.Broadcast()
+	c.cancel()
+	c.advanced.Broadcast()
 }
 
-// write sends one answer, and says whether it went out whole.
-func (c *conn) write(p *place) bool {
+// writeAnswer writes one answer and reports whether it was written completely.
+func (c *conn) writeAnswer(p *pendingRequest) bool {
 	if p.answer == nil {
 		return false
 	}
 	var head bytes.Buffer
-	head.Grow(headRoom + len(p.answer.Body))
+	head.Grow(headCapacity + len(p.answer.Body))
 	head.WriteString("HTTP/1.1 " + strconv.Itoa(p.answer.Status) + " " + http.StatusText(p.answer.Status) + "\r\n")
-	if err := p.answer.Header.WriteSubset(&head, ownHeaders); err != nil {
+	if err := p.answer.Header.WriteSubset(&head, connectionHeaders); err != nil {
 		return false
 	}
 	body := p.answer.Body
@@ -199,61 +201,62 @@
 	} else {
 		body = nil
 	}
-	if p.last {
+	if p.closeAfter {
 		head.WriteString("Connection: close\r\n")
 	}
 	head.WriteString("\r\n")
-	if !p.bodyless {
+	if !p.headOnly {
 		head.Write(body)
 	}
 	_ = c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.raw.Write(head.Bytes()); err != nil {
 		return false
 	}
-	if p.last {
-		c.finish()
+	if p.closeAfter {
+		c.closeWrite()
 	}
 	return true
 }
 
-// ownHeaders are written by the connection itself.
-var ownHeaders = map[string]bool{"Content-Length": true, "Connection": true, "Transfer-Encoding": true}
+// connectionHeaders are the headers that the connection sets itself.
+var connectionHeaders = map[string]bool{"Content-Length": true, "Connection": true, "Transfer-Encoding": true}
 
 func mayHaveBody(status int) bool {
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// finish tells the caller that nothing follows, and goes on reading for a while.
-func (c *conn) finish() {
+// closeWrite signals the end of the answers to the caller, and limits further reading to
+// lingerTimeout.
+func (c *conn) closeWrite() {
 	if tcp, ok := c.raw.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.finished = true
+	c.writeClosed = true
 	_ = c.raw.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// drain reads on after the last request, to notice a caller that leaves and to
-// leave nothing unread.
-func (c *conn) drain() {
+// discardInput reads on after the last request, to notice a caller that disconnects and
+// to leave no bytes unread.
+func (c *conn) discardInput() {
 	c.mu.Lock()
-	if !c.finished && !c.broken {
+	if !c.writeClosed && !c.broken {
 		_ = c.raw.SetReadDeadline(time.Time{})
 	}
 	c.mu.Unlock()
 	_, _ = io.Copy(io.Discard, c.raw)
 }
 
-// promptBody asks for a body that the caller holds back, once no earlier answer
-// is due.
-func (c *conn) promptBody() {
+// sendContinue asks for the body of a request with Expect: 100-continue, once all earlier
+// requests are answered.
+func (c *conn) sendContinue() {
 	c.mu.Lock()
-	for !c.broken && len(c.line) > 0 {
-		c.moved.Wait()
+	for !c.broken && len(c.pipeline) > 0 {
+		c.advanced.Wait()
 	}
 	c.mu.Unlock()
 	_ = c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
-	// A caller that cannot be asked is noticed when its body is read.
+	// A write error is ignored: reading the body then fails as well.
 	_, _ = io.WriteString(c.raw, "HTTP/1.1 100 Continue\r\n\r\n")
 }
--- a/internal/ahead/read.go
+++ b/internal/ahead/read.go
@@ -11,55 +11,56 @@
 	"time"
 )
 
-// metered reads from a connection and fails once a request's head is longer
-// than it may be.
-type metered struct {
-	raw  net.Conn
-	left int64
-	full bool
-	// failed is the connection's own error, which a parser may hide behind its own.
-	failed error
+// limitedReader reads from a connection and returns io.EOF once the head of a request
+// exceeds its limit.
+type limitedReader struct {
+	raw       net.Conn
+	remaining int64
+	exceeded  bool
+	// readErr is the connection's own error, which a parser may replace by its own.
+	readErr error
 }
 
-// refusal is why a request could not be read.
+// refusal says why a request could not be read. Status 0 closes the connection without an
+// answer.
 type refusal struct {
 	status int
 	reason string
 }
 
-// unmetered stands for no bound on what is read.
-const unmetered = int64(1) << 62
+// unlimited disables the limit on the bytes read.
+const unlimited = int64(1) << 62
 
-func (m *metered) Read(p []byte) (int, error) {
-	if m.left <= 0 {
-		m.full = true
+func (m *limitedReader) Read(p []byte) (int, error) {
+	if m.remaining <= 0 {
+		m.exceeded = true
 		return 0, io.EOF
 	}
-	if int64(len(p)) > m.left {
-		p = p[:m.left]
+	if int64(len(p)) > m.remaining {
+		p = p[:m.remaining]
 	}
 	n, err := m.raw.Read(p)
-	m.left -= int64(n)
-	m.failed = err
+	m.remaining -= int64(n)
+	m.readErr = err
 	return n, err
 }
 
-// read takes the next request whole. It returns neither a request nor a refusal
-// when the caller has closed the connection or let it idle.
-func (c *conn) read() (*http.Request, *refusal) {
+// readRequest reads the next request including its body. It returns neither a request nor
+// a refusal if the caller closed the connection or the idle timeout passed.
+func (c *conn) readRequest() (*http.Request, *refusal) {
 	bounds := c.server.Bounds()
-	c.source.left = unmetered
-	c.awaitNext(bounds.IdleTimeout)
+	c.input.remaining = unlimited
+	c.limitIdle(bounds.IdleTimeout)
 	if _, err := c.reader.Peek(1); err != nil {
 		return nil, nil
 	}
-	c.begin(bounds.HeaderTimeout)
-	c.source.left = bounds.HeaderBytes
+	c.limitRead(bounds.HeaderTimeout)
+	c.input.remaining = bounds.HeaderBytes
 	request, err := http.ReadRequest(c.reader)
 	if err != nil {
-		return nil, c.headRefusal(err)
+		return nil, c.headerRefusal(err)
 	}
-	c.source.left = unmetered
+	c.input.remaining = unlimited
 	request.RemoteAddr = c.raw.RemoteAddr().String()
 	if refused := c.readBody(request, bounds); refused != nil {
 		return nil, refused
@@ -67,19 +68,20 @@
 	return request, nil
 }
 
-func (c *conn) headRefusal(err error) *refusal {
+func (c *conn) headerRefusal(err error) *refusal {
 	switch {
-	case c.source.full:
+	case c.input.exceeded:
 		return &refusal{http.StatusRequestHeaderFieldsTooLarge, "the header is longer than max_header_bytes"}
-	case errors.Is(c.source.failed, os.ErrDeadlineExceeded):
+	case errors.Is(c.input.readErr, os.ErrDeadlineExceeded):
 		return &refusal{http.StatusRequestTimeout, "the header took longer than header_timeout"}
-	case c.source.failed != nil:
+	case c.input.readErr != nil:
 		return nil
 	}
 	return &refusal{http.StatusBadRequest, err.Error()}
 }
 
-// readBody takes the body into memory, so that the request can be handed on whole.
+// readBody reads the whole body into memory, so that the request can be forwarded with a
+// known length.
 func (c *conn) readBody(request *http.Request, bounds Bounds) *refusal {
 	if request.ContentLength == 0 {
 		request.Body = http.NoBody
@@ -88,18 +90,18 @@
 	if request.ContentLength > bounds.BodyBytes {
 		return &refusal{http.StatusRequestEntityTooLarge, "the body is longer than max_request_bytes"}
 	}
-	c.begin(max(bounds.HeaderTimeout, bodyTimeout))
+	c.limitRead(max(bounds.HeaderTimeout, bodyTimeout))
 	if strings.EqualFold(request.Header.Get("Expect"), "100-continue") {
-		c.promptBody()
+		c.sendContinue()
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(nil, request.Body, bounds.BodyBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
 		return &refusal{http.StatusRequestEntityTooLarge, "the body is longer than max_request_bytes"}
-	case err != nil && errors.Is(c.source.failed, os.ErrDeadlineExceeded):
+	case err != nil && errors.Is(c.input.readErr, os.ErrDeadlineExceeded):
 		return &refusal{http.StatusRequestTimeout, "the body took too long"}
-	case err != nil && c.source.failed != nil:
+	case err != nil && c.input.readErr != nil:
 		return &refusal{}
 	case err != nil:
 		return &refusal{http.StatusBadRequest, err.Error()}
@@ -110,23 +112,23 @@
 	return nil
 }
 
-// awaitNext bounds the wait for the next request, unless one is under way: then
-// the connection stays open, and is read to notice that the caller leaves.
-func (c *conn) awaitNext(idle time.Duration) {
+// limitIdle bounds the wait for the next request. While a request is in flight there is
+// no bound: the connection stays open and is read, to notice a caller that disconnects.
+func (c *conn) limitIdle(idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = idle
-	if len(c.line) > 0 {
+	c.idleTimeout = idle
+	if len(c.pipeline) > 0 {
 		_ = c.raw.SetReadDeadline(time.Time{})
 		return
 	}
 	_ = c.raw.SetReadDeadline(time.Now().Add(idle))
 }
 
-// begin bounds the reading of a request that has begun to arrive.
-func (c *conn) begin(timeout time.Duration) {
+// limitRead bounds the reading of a request that has begun to arrive.
+func (c *conn) limitRead(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = 0
+	c.idleTimeout = 0
 	_ = c.raw.SetReadDeadline(time.Now().Add(timeout))
 }
--- a/internal/ahead/shutdown_test.go
+++ b/internal/ahead/shutdown_test.go
@@ -14,17 +14,16 @@
 	"github.com/dandelionfield/dandelionfield/internal/ahead"
 )
 
-// A request that has been read when the last listeners close gets its answer: a stop
-// cuts nothing off.
-func TestShutdownLeavesNoRequestWithoutItsAnswer(t *testing.T) {
+// A request that has been read when the listener closes is still answered.
+func TestShutdownAnswersRequestsInFlight(t *testing.T) {
 	is := is.New(t)
-	p := begin(t, ahead.Bounds{HeaderBytes: 1 << 10, BodyBytes: 1 << 10, HeaderTimeout: time.Second, IdleTimeout: time.Second}, "/held")
+	p := startServer(t, ahead.Bounds{HeaderBytes: 1 << 10, BodyBytes: 1 << 10, HeaderTimeout: time.Second, IdleTimeout: time.Second}, "/held")
 	conn, err := net.Dial("tcp", p.address)
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
 	_, err = io.WriteString(conn, "GET /held HTTP/1.1\r\nHost: h\r\n\r\n")
 	is.NoErr(err)
-	<-p.began
+	<-p.started
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	ended := make(chan struct{})
@@ -40,7 +39,7 @@
 		_ = probe.Close()
 		time.Sleep(time.Millisecond)
 	}
-	p.release["/held"] <- struct{}{}
+	p.holds["/held"] <- struct{}{}
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	is.NoErr(err)
 	is.Equal(response.StatusCode, http.StatusOK)
@@ -48,18 +47,18 @@
 	<-ended
 }
 
-// A request that does not end holds up no stop.
+// A request that does not end does not delay Shutdown beyond its context.
 func TestShutdownEndsWithItsContext(t *testing.T) {
-	p := begin(t, ahead.Bounds{HeaderBytes: 1 << 10, BodyBytes: 1 << 10, HeaderTimeout: time.Second, IdleTimeout: time.Second}, "/held")
+	p := startServer(t, ahead.Bounds{HeaderBytes: 1 << 10, BodyBytes: 1 << 10, HeaderTimeout: time.Second, IdleTimeout: time.Second}, "/held")
 	is := is.New(t)
 	conn, err := net.Dial("tcp", p.address)
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
 	_, err = io.WriteString(conn, "GET /held HTTP/1.1\r\nHost: h\r\n\r\n")
 	is.NoErr(err)
-	<-p.began
+	<-p.started
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	p.server.Shutdown(ctx)
-	is.Equal(<-p.ended, "/held cancelled")
+	is.Equal(<-p.cancelled, "/held cancelled")
 }
