--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -69,13 +69,13 @@
 		Importance schema.Importance
 		Position   uint16
 		Deadline   time.Time
-		// First is set on the first attempt of a call. Only first attempts count
+		// FirstAttempt is set on the first attempt of a call. Only first attempts count
 		// towards the offered load: a call that another target rejected before it
 		// was sent has been counted by that target's gate.
-		First bool
-		// Waits reports whether the target is waiting for downstream calls that
+		FirstAttempt bool
+		// AwaitsDownstream reports whether the target is waiting for downstream calls that
 		// it made on behalf of this one. It is nil for a kind that makes none.
-		Waits func() bool
+		AwaitsDownstream func() bool
 	}
 
 	// Settings describes a target to its gate.
--- a/internal/admit/door.go
+++ b/internal/admit/door.go
@@ -15,8 +15,8 @@
 )
 
 type (
-	// Door holds the floors of services as an entry node knows them.
-	Door struct {
+	// EntryGate holds the floors of services as an entry node knows them.
+	EntryGate struct {
 		// levels holds the last level by service and node.
 		levels map[string]map[string]floorSample
 		// combine reduces the floors of a service's nodes, sorted in ascending
@@ -40,14 +40,14 @@
 	}
 )
 
-// NewDoor returns an empty set of floors, which allows every request.
-func NewDoor() *Door {
-	return &Door{levels: map[string]map[string]floorSample{}, combine: lowerQuartile}
+// NewEntryGate returns an empty set of floors, which allows every request.
+func NewEntryGate() *EntryGate {
+	return &EntryGate{levels: map[string]map[string]floorSample{}, combine: lowerQuartile}
 }
 
 // Learn stores a floor that was measured the given time ago, unless a newer one of
 // the same node is stored already or it has expired.
-func (d *Door) Learn(now time.Time, service, node string, floor uint32, age time.Duration) {
+func (d *EntryGate) Learn(now time.Time, service, node string, floor uint32, age time.Duration) {
 	if age >= levelExpiry {
 		return
 	}
@@ -65,7 +65,7 @@
 
 // Allows reports whether the order is at or above the floors of all the services. If
 // not, it returns the first service whose floor is above the order.
-func (d *Door) Allows(now time.Time, services []string, order uint32) (string, bool) {
+func (d *EntryGate) Allows(now time.Time, services []string, order uint32) (string, bool) {
 	for _, service := range services {
 		if order < d.floor(now, service) {
 			return service, false
@@ -74,18 +74,18 @@
 	return "", true
 }
 
-// Floors returns all levels that have not expired.
-func (d *Door) Floors(now time.Time) []Level {
+// Levels returns all levels that have not expired.
+func (d *EntryGate) Levels(now time.Time) []Level {
 	services := make([]string, 0, len(d.levels))
 	for service := range d.levels {
 		services = append(services, service)
 	}
-	return d.FloorsOf(now, services)
+	return d.LevelsOf(now, services)
 }
 
-// FloorsOf returns the unexpired levels of the given services. It serves answers to
+// LevelsOf returns the unexpired levels of the given services. It serves answers to
 // callers that can use no others. Expired levels are removed.
-func (d *Door) FloorsOf(now time.Time, services []string) []Level {
+func (d *EntryGate) LevelsOf(now time.Time, services []string) []Level {
 	var levels []Level
 	for _, service := range services {
 		for node, sample := range d.levels[service] {
@@ -101,13 +101,13 @@
 }
 
 // Forget removes the levels of a node.
-func (d *Door) Forget(node string) {
+func (d *EntryGate) Forget(node string) {
 	for service := range d.levels {
 		d.drop(service, node)
 	}
 }
 
-func (d *Door) drop(service, node string) {
+func (d *EntryGate) drop(service, node string) {
 	delete(d.levels[service], node)
 	if len(d.levels[service]) == 0 {
 		delete(d.levels, service)
@@ -115,7 +115,7 @@
 }
 
 // floor returns the service's floor, or 0 if no level of it is known.
-func (d *Door) floor(now time.Time, service string) uint32 {
+func (d *EntryGate) floor(now time.Time, service string) uint32 {
 	floors := make([]uint32, 0, len(d.levels[service]))
 	for _, h := range d.levels[service] {
 		if age := now.Sub(h.measured); age < levelExpiry {
--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -84,7 +84,7 @@
 func (g *Gate) Offer(now time.Time, c Call) Decision {
 	g.demand.observe(now, Order(c.Importance, c.Position))
 	g.limiter.advance(now)
-	if c.First {
+	if c.FirstAttempt {
 		g.offeredLoad.add(now, g.serviceTimes.expected(c.Kind))
 	}
 	if _, ok := g.running[c.ID]; ok {
@@ -133,7 +133,7 @@
 	delete(g.running, id)
 	g.startSum -= run.started.Sub(g.epoch)
 	if o == Completed || o == Shed || o == Failed {
-		g.Sign(now)
+		g.RecordActivity(now)
 	}
 	g.limiter.advance(now)
 	if o != Shed || !g.shedLate(run, now) {
@@ -228,8 +228,8 @@
 	g.limiter.settings = s
 }
 
-// Keep discards the service times of kinds that are no longer declared.
-func (g *Gate) Keep(declared func(kind string) bool) {
+// RetainKinds discards the service times of kinds that are no longer declared.
+func (g *Gate) RetainKinds(declared func(kind string) bool) {
 	g.serviceTimes.retain(declared)
 }
 
@@ -249,7 +249,7 @@
 		g.epoch = now
 		g.startSum = 0
 	}
-	g.running[c.ID] = runningCall{kind: c.Kind, started: now, awaitsDownstream: c.Waits}
+	g.running[c.ID] = runningCall{kind: c.Kind, started: now, awaitsDownstream: c.AwaitsDownstream}
 	g.startSum += now.Sub(g.epoch)
 }
 
--- a/internal/admit/gate_test.go
+++ b/internal/admit/gate_test.go
@@ -76,7 +76,7 @@
 				importance := schema.Importance(slices.Index(importanceSet, word))
 				call := Call{ID: id, Importance: importance, Position: uint16(position), Deadline: now.Add(durationArg(t, d, "left"))}
 				if d.HasArg("waits") {
-					call.Waits = func() bool { return true }
+					call.AwaitsDownstream = func() bool { return true }
 				}
 				decision := gate.Offer(now, call)
 				return releasesText(append([]Release{{ID: id, Verdict: decision.Verdict, Code: decision.Code}}, decision.Released...))
@@ -88,7 +88,7 @@
 			case "tick":
 				return releasesText(gate.Tick(now))
 			case "sign":
-				gate.Sign(now)
+				gate.RecordActivity(now)
 				return ""
 			case "stopped":
 				return fmt.Sprintln(gate.Stopped())
--- a/internal/admit/kinds_test.go
+++ b/internal/admit/kinds_test.go
@@ -16,12 +16,12 @@
 	pressures := NewPressures()
 	for _, kind := range []string{"stays", "gone"} {
 		gate.serviceTimes.observe(kind, time.Second, false, 4)
-		pressures.Leads(time.Unix(0, 0), kind, "below")
+		pressures.AddDownstream(time.Unix(0, 0), kind, "below")
 	}
-	gate.Keep(declared)
-	pressures.Keep(declared)
+	gate.RetainKinds(declared)
+	pressures.RetainKinds(declared)
 	is.Equal(gate.serviceTimes.kindMean("stays"), time.Second)
 	is.Equal(len(gate.serviceTimes.byKind), 1)
-	is.Equal(pressures.Below(time.Unix(0, 0), "stays"), []string{"below"})
+	is.Equal(pressures.Downstream(time.Unix(0, 0), "stays"), []string{"below"})
 	is.Equal(len(pressures.downstream), 1)
 }
--- a/internal/admit/limit.go
+++ b/internal/admit/limit.go
@@ -25,10 +25,10 @@
 	reservedFromSlots = 17
 )
 
-// Usable returns how many of the slots that a target announces are to be used. A target
+// UsableSlots returns how many of the slots that a target announces are to be used. A target
 // announces the most calls that it can hold. Some targets serve all calls more slowly
 // when they are nearly full, so that using the last slots lowers their throughput.
-func Usable(slots int) int {
+func UsableSlots(slots int) int {
 	if slots < reservedFromSlots {
 		return slots
 	}
--- a/internal/admit/limit_test.go
+++ b/internal/admit/limit_test.go
@@ -23,7 +23,7 @@
 		return float64(inUse) / took
 	}
 	is := is.New(t)
-	usable := admit.Usable(slots)
+	usable := admit.UsableSlots(slots)
 	is.True(rate(usable, 1.3) >= 1.15*rate(slots, 1.3))
 	is.True(rate(usable, 1) >= 0.9*rate(slots, 1))
 }
@@ -32,8 +32,8 @@
 func TestSmallTargetsUseAllSlots(t *testing.T) {
 	is := is.New(t)
 	for _, slots := range []int{1, 4, 16} {
-		is.Equal(admit.Usable(slots), slots)
+		is.Equal(admit.UsableSlots(slots), slots)
 	}
-	is.Equal(admit.Usable(17), 15)
-	is.Equal(admit.Usable(133), 125)
+	is.Equal(admit.UsableSlots(17), 15)
+	is.Equal(admit.UsableSlots(133), 125)
 }
--- a/internal/admit/loop_test.go
+++ b/internal/admit/loop_test.go
@@ -36,7 +36,7 @@
 	node struct {
 		name    string
 		gate    *Gate
-		door    *Door
+		door    *EntryGate
 		table   *route.Table // targets of the next tier
 		waiting map[string]func(admitted bool)
 	}
@@ -94,7 +94,7 @@
 func newEventLoop(p scenario) *eventLoop {
 	l := &eventLoop{scenario: p, random: rand.New(rand.NewPCG(p.seed, 1)), start: time.Unix(1_000_000, 0)}
 	l.now = l.start
-	l.entry = &node{name: "entry", door: NewDoor()}
+	l.entry = &node{name: "entry", door: NewEntryGate()}
 	callers := []*node{l.entry}
 	for _, t := range chain {
 		tierNodes := make([]*node, 0, replicas)
@@ -104,7 +104,7 @@
 			if p.naive {
 				s.Queue, s.QueueWait = 1<<30, time.Hour
 			}
-			n := &node{name: fmt.Sprint(t.name, j), gate: NewGate(s), door: NewDoor(), waiting: map[string]func(bool){}}
+			n := &node{name: fmt.Sprint(t.name, j), gate: NewGate(s), door: NewEntryGate(), waiting: map[string]func(bool){}}
 			tierNodes = append(tierNodes, n)
 			targets = append(targets, route.Target{Name: n.name})
 		}
@@ -206,7 +206,7 @@
 	}
 	to := l.nodes[tier][at]
 	answer := func(outcome route.Outcome) {
-		levels := append(to.door.Floors(l.now), Level{Service: chain[tier].name, Node: to.name, Floor: to.gate.Floor(l.now)})
+		levels := append(to.door.Levels(l.now), Level{Service: chain[tier].name, Node: to.name, Floor: to.gate.Floor(l.now)})
 		load := to.gate.Load(l.now)
 		l.after(hopTime, func() {
 			for _, level := range levels {
--- a/internal/admit/offer_test.go
+++ b/internal/admit/offer_test.go
@@ -24,7 +24,7 @@
 		for _, id := range ends[now] {
 			released = append(released, gate.Done(now, id, admit.Completed)...)
 		}
-		c := admit.Call{ID: fmt.Sprint(i), Kind: "k", Deadline: now.Add(time.Second), First: true}
+		c := admit.Call{ID: fmt.Sprint(i), Kind: "k", Deadline: now.Add(time.Second), FirstAttempt: true}
 		d := gate.Offer(now, c)
 		if d.Verdict == admit.Admitted {
 			released = append(released, admit.Release{ID: c.ID, Verdict: admit.Admitted})
--- a/internal/admit/pressure.go
+++ b/internal/admit/pressure.go
@@ -31,8 +31,8 @@
 		downstream map[string]map[string]time.Time
 	}
 
-	// Heard is a report of the pressure that a service had some time ago.
-	Heard struct {
+	// PressureReport is a report of the pressure that a service had some time ago.
+	PressureReport struct {
 		Service  string
 		Pressure float64
 		Age      time.Duration
@@ -50,8 +50,8 @@
 	return &Pressures{samples: map[string]pressureSample{}, downstream: map[string]map[string]time.Time{}}
 }
 
-// Hear stores the reported pressure of a service unless a newer one is stored already.
-func (p *Pressures) Hear(now time.Time, report Heard) {
+// Update stores the reported pressure of a service unless a newer one is stored already.
+func (p *Pressures) Update(now time.Time, report PressureReport) {
 	at := now.Add(-max(report.Age, 0))
 	if at.Before(p.samples[report.Service].at) {
 		return
@@ -59,8 +59,8 @@
 	p.samples[report.Service] = pressureSample{pressure: report.Pressure, at: at}
 }
 
-// Leads records that requests of a kind call a service downstream of the kind's own.
-func (p *Pressures) Leads(now time.Time, kind, service string) {
+// AddDownstream records that requests of a kind call a service downstream of the kind's own.
+func (p *Pressures) AddDownstream(now time.Time, kind, service string) {
 	services := p.downstream[kind]
 	if services == nil {
 		services = map[string]time.Time{}
@@ -69,25 +69,25 @@
 	services[service] = now
 }
 
-// Below returns the services that requests of a kind call downstream of its own, sorted.
-func (p *Pressures) Below(now time.Time, kind string) []string {
+// Downstream returns the services that requests of a kind call downstream of its own, sorted.
+func (p *Pressures) Downstream(now time.Time, kind string) []string {
 	services := p.downstream[kind]
 	maps.DeleteFunc(services, func(_ string, at time.Time) bool { return now.Sub(at) >= downstreamExpiry })
 	return slices.Sorted(maps.Keys(services))
 }
 
-// Of returns the pressure on the kind's own service and on those downstream of it.
-func (p *Pressures) Of(now time.Time, kind, service string) Pressure {
+// ForKind returns the pressure on the kind's own service and on those downstream of it.
+func (p *Pressures) ForKind(now time.Time, kind, service string) Pressure {
 	pressure := Pressure{Own: p.current(now, service)}
-	for _, below := range p.Below(now, kind) {
-		pressure.Below = max(pressure.Below, p.current(now, below))
+	for _, below := range p.Downstream(now, kind) {
+		pressure.Downstream = max(pressure.Downstream, p.current(now, below))
 	}
 	return pressure
 }
 
-// Told returns the reports to send with an answer, the highest pressure first.
-func (p *Pressures) Told(now time.Time) []Heard {
-	var reports []Heard
+// Reports returns the reports to send with an answer, the highest pressure first.
+func (p *Pressures) Reports(now time.Time) []PressureReport {
+	var reports []PressureReport
 	for service, m := range p.samples {
 		if m.pressure < minReportedPressure || now.Sub(m.at) >= pressureFresh {
 			continue
@@ -95,8 +95,8 @@
 		if len(reports) == maxReports && m.pressure <= reports[maxReports-1].Pressure {
 			continue
 		}
-		reports = append(reports[:min(len(reports), maxReports-1)], Heard{Service: service, Pressure: m.pressure, Age: now.Sub(m.at)})
-		slices.SortFunc(reports, func(a, b Heard) int { return cmp.Compare(b.Pressure, a.Pressure) })
+		reports = append(reports[:min(len(reports), maxReports-1)], PressureReport{Service: service, Pressure: m.pressure, Age: now.Sub(m.at)})
+		slices.SortFunc(reports, func(a, b PressureReport) int { return cmp.Compare(b.Pressure, a.Pressure) })
 	}
 	return reports
 }
@@ -112,8 +112,8 @@
 	return fresh
 }
 
-// Keep discards the downstream services of kinds that are no longer declared.
-func (p *Pressures) Keep(declared func(kind string) bool) {
+// RetainKinds discards the downstream services of kinds that are no longer declared.
+func (p *Pressures) RetainKinds(declared func(kind string) bool) {
 	maps.DeleteFunc(p.downstream, func(kind string, _ map[string]time.Time) bool { return !declared(kind) })
 }
 
--- a/internal/admit/pulse.go
+++ b/internal/admit/pulse.go
@@ -49,8 +49,8 @@
 	stoppedAt time.Time
 }
 
-// Sign records activity of the target, which ends a stop.
-func (g *Gate) Sign(now time.Time) {
+// RecordActivity records activity of the target, which ends a stop.
+func (g *Gate) RecordActivity(now time.Time) {
 	g.liveness.lastActivity = now
 	g.liveness.stopped = false
 	g.liveness.suspected = false
--- a/internal/admit/throttle.go
+++ b/internal/admit/throttle.go
@@ -54,17 +54,17 @@
 )
 
 type (
-	// End is how an admitted request ended.
-	End uint8
+	// RequestEnd is how an admitted request ended.
+	RequestEnd uint8
 
 	// Pressure is the load offered to the targets of a service relative to their slots:
 	// above 1, more calls arrive than they can serve.
 	Pressure struct {
 		// Own is the pressure of the kind's own service.
 		Own float64
-		// Below is the highest known pressure of the services that are called
+		// Downstream is the highest known pressure of the services that are called
 		// downstream of the kind's own.
-		Below float64
+		Downstream float64
 	}
 
 	// Throttle decides which share of the requests of each kind a node admits.
@@ -104,16 +104,16 @@
 
 // The ends.
 const (
-	// Good means that the request was answered.
-	Good End = iota
-	// Overrun means that it failed in a way that overload can cause, at the kind's own
+	// Succeeded means that the request was answered.
+	Succeeded RequestEnd = iota
+	// LoadFailure means that it failed in a way that overload can cause, at the kind's own
 	// service or downstream.
-	Overrun
-	// NoRoom means that the kind's own service rejected it for lack of capacity, which
+	LoadFailure
+	// OwnServiceFull means that the kind's own service rejected it for lack of capacity, which
 	// says nothing about the services downstream.
-	NoRoom
-	// Other means that it ended in a way that says nothing about load.
-	Other
+	OwnServiceFull
+	// Unrelated means that it ended in a way that says nothing about load.
+	Unrelated
 )
 
 // NewThrottle returns a throttle that admits all requests until pressure is reported.
@@ -121,17 +121,17 @@
 	return &Throttle{kinds: map[string]*kindState{}}
 }
 
-// Offer reports whether a request is admitted. The caller draws a random number from
+// Allow reports whether a request is admitted. The caller draws a random number from
 // [0, 1) for it, which is compared with the share of its kind.
-func (t *Throttle) Offer(now time.Time, kind string, importance schema.Importance, drawn float64) bool {
+func (t *Throttle) Allow(now time.Time, kind string, importance schema.Importance, drawn float64) bool {
 	t.advance(now)
 	k := t.kind(kind)
 	k.importance = importance
 	return drawn < k.share
 }
 
-// Press sets the pressure of the services that requests of a kind call.
-func (t *Throttle) Press(now time.Time, kind string, pressure Pressure) {
+// SetPressure sets the pressure of the services that requests of a kind call.
+func (t *Throttle) SetPressure(now time.Time, kind string, pressure Pressure) {
 	k := t.kind(kind)
 	k.pressure = pressure
 	k.pressureAt = now
@@ -145,26 +145,26 @@
 	return 1
 }
 
-// Calm reports whether the requests of a kind mostly succeed, so that a failure is a
+// MostlySucceeds reports whether the requests of a kind mostly succeed, so that a failure is a
 // single incident and worth a retry.
-func (t *Throttle) Calm(kind string) bool {
+func (t *Throttle) MostlySucceeds(kind string) bool {
 	k := t.kinds[kind]
 	return k == nil || !k.failing()
 }
 
-// Ended records how an admitted request ended.
-func (t *Throttle) Ended(now time.Time, kind string, end End) {
+// RecordEnd records how an admitted request ended.
+func (t *Throttle) RecordEnd(now time.Time, kind string, end RequestEnd) {
 	t.advance(now)
 	k := t.kind(kind)
 	switch end {
-	case Good:
+	case Succeeded:
 		k.succeeded++
-	case Overrun:
+	case LoadFailure:
 		k.failed++
-	case NoRoom:
+	case OwnServiceFull:
 		k.failed++
 		k.ownRejected++
-	case Other:
+	case Unrelated:
 		return
 	}
 	k.lastEnd = now
@@ -179,9 +179,9 @@
 	return shares
 }
 
-// Keep discards the state of kinds that are no longer declared, which bounds the memory
+// RetainKinds discards the state of kinds that are no longer declared, which bounds the memory
 // in use while declarations change.
-func (t *Throttle) Keep(declared func(kind string) bool) {
+func (t *Throttle) RetainKinds(declared func(kind string) bool) {
 	maps.DeleteFunc(t.kinds, func(name string, _ *kindState) bool { return !declared(name) })
 }
 
@@ -278,7 +278,7 @@
 		effective = k.pressure.Own
 	}
 	if !k.lastDownstreamFailure.IsZero() && now.Sub(k.lastDownstreamFailure) <= downstreamFailureFor {
-		effective = max(effective, k.pressure.Below)
+		effective = max(effective, k.pressure.Downstream)
 	}
 	return effective
 }
--- a/internal/admit/throttle_test.go
+++ b/internal/admit/throttle_test.go
@@ -216,8 +216,8 @@
 	if r.kind.direct {
 		service = scheduler
 	}
-	r.node.throttle.Press(m.time(), r.kind.name, r.node.pressures.Of(m.time(), r.kind.name, service))
-	return r.node.throttle.Offer(m.time(), r.kind.name, r.kind.importance, m.random.Float64())
+	r.node.throttle.SetPressure(m.time(), r.kind.name, r.node.pressures.ForKind(m.time(), r.kind.name, service))
+	return r.node.throttle.Allow(m.time(), r.kind.name, r.kind.importance, m.random.Float64())
 }
 
 // next makes the next call of one sequence of a request, or ends it.
@@ -226,11 +226,11 @@
 	switch {
 	case r.ended:
 	case m.now-r.began > r.kind.deadline:
-		m.end(r, admit.Overrun)
+		m.end(r, admit.LoadFailure)
 	case c.done == r.kind.calls/r.kind.lanes():
 		m.laneDone(r)
 	case m.shed.times > 0 && m.now >= m.shed.from && m.now < m.shed.until && m.random.Float64() < m.shedShare:
-		m.end(r, admit.Overrun)
+		m.end(r, admit.LoadFailure)
 	default:
 		m.offer(c)
 	}
@@ -245,11 +245,11 @@
 	case m.busy < m.slots:
 		m.serve(c)
 	case len(m.queue) >= meshQueue && r.kind.direct && !m.queue[len(m.queue)-1].request.kind.direct:
-		m.end(m.queue[len(m.queue)-1].request, admit.Overrun)
+		m.end(m.queue[len(m.queue)-1].request, admit.LoadFailure)
 		m.queue = m.queue[:len(m.queue)-1]
 		m.enqueue(c)
 	case len(m.queue) >= meshQueue:
-		m.end(r, admit.Overrun)
+		m.end(r, admit.LoadFailure)
 	default:
 		m.enqueue(c)
 	}
@@ -273,7 +273,7 @@
 		return
 	}
 	m.served[r.kind.name].good[int(r.began.Seconds())]++
-	m.end(r, admit.Good)
+	m.end(r, admit.Succeeded)
 }
 
 func (m *mesh) enqueue(c *meshCall) {
@@ -300,7 +300,7 @@
 			first := m.queue[0]
 			m.queue = m.queue[1:]
 			if m.now-first.queuedAt > meshQueueWait {
-				m.end(first.request, admit.Overrun)
+				m.end(first.request, admit.LoadFailure)
 				continue
 			}
 			m.serve(first)
@@ -308,13 +308,13 @@
 	})
 }
 
-func (m *mesh) end(r *meshRequest, end admit.End) {
+func (m *mesh) end(r *meshRequest, end admit.RequestEnd) {
 	if r.ended {
 		return
 	}
 	r.ended = true
 	if r.node != nil {
-		r.node.throttle.Ended(m.time(), r.kind.name, end)
+		r.node.throttle.RecordEnd(m.time(), r.kind.name, end)
 		m.sendReport(r)
 	}
 }
@@ -322,12 +322,12 @@
 // sendReport reports the scheduler's pressure to an entry node, as answers of every kind do,
 // and records that the kind calls the scheduler.
 func (m *mesh) sendReport(r *meshRequest) {
-	report := admit.Heard{Service: scheduler, Pressure: m.pressure()}
+	report := admit.PressureReport{Service: scheduler, Pressure: m.pressure()}
 	m.after(m.reportDelay, func() {
 		report.Age = m.reportDelay
-		r.node.pressures.Hear(m.time(), report)
+		r.node.pressures.Update(m.time(), report)
 		if r.kind.calls > 0 && !r.kind.direct {
-			r.node.pressures.Leads(m.time(), r.kind.name, scheduler)
+			r.node.pressures.AddDownstream(m.time(), r.kind.name, scheduler)
 		}
 	})
 }
@@ -428,7 +428,7 @@
 	}
 	m.served = map[string]*tally{"round_view": {}, "renewal": {}, "collection": {}}
 	m.announced = 35
-	m.slots = admit.Usable(m.announced)
+	m.slots = admit.UsableSlots(m.announced)
 	m.callTime = 57 * time.Millisecond
 	m.reportDelay = 200 * time.Millisecond
 	m.knee = 1.3
@@ -444,20 +444,20 @@
 	is := is.New(t)
 	throttle := admit.NewThrottle()
 	now := meshStart
-	throttle.Offer(now, "order", schema.Critical, 0)
-	throttle.Press(now, "order", admit.Pressure{Own: 3})
+	throttle.Allow(now, "order", schema.Critical, 0)
+	throttle.SetPressure(now, "order", admit.Pressure{Own: 3})
 	for range 10 {
 		now = now.Add(200 * time.Millisecond)
-		throttle.Press(now, "order", admit.Pressure{Own: 3})
+		throttle.SetPressure(now, "order", admit.Pressure{Own: 3})
 		for range 4 {
-			throttle.Ended(now, "order", admit.Overrun)
+			throttle.RecordEnd(now, "order", admit.LoadFailure)
 		}
-		throttle.Offer(now, "order", schema.Critical, 0)
+		throttle.Allow(now, "order", schema.Critical, 0)
 	}
 	is.True(throttle.Share("order") < 0.3)
 	for range 30 {
 		now = now.Add(200 * time.Millisecond)
-		throttle.Offer(now, "order", schema.Critical, 0)
+		throttle.Allow(now, "order", schema.Critical, 0)
 	}
 	is.Equal(throttle.Share("order"), 1.0)
 }
@@ -473,11 +473,11 @@
 }
 
 // runFor simulates a duration under a pressure in which all admitted requests end alike.
-func (p *throttleFixture) runFor(d time.Duration, pressure admit.Pressure, end admit.End) {
+func (p *throttleFixture) runFor(d time.Duration, pressure admit.Pressure, end admit.RequestEnd) {
 	for until := p.now.Add(d); p.now.Before(until); p.now = p.now.Add(20 * time.Millisecond) {
-		p.throttle.Press(p.now, "look-up", pressure)
-		if p.throttle.Offer(p.now, "look-up", schema.Low, 0) {
-			p.throttle.Ended(p.now, "look-up", end)
+		p.throttle.SetPressure(p.now, "look-up", pressure)
+		if p.throttle.Allow(p.now, "look-up", schema.Low, 0) {
+			p.throttle.RecordEnd(p.now, "look-up", end)
 		}
 	}
 }
@@ -492,13 +492,13 @@
 func TestVictimOfAFullServiceBelowIsLetInAgain(t *testing.T) {
 	is := is.New(t)
 	one := newThrottleFixture()
-	one.runFor(time.Second, admit.Pressure{Own: 0.5, Below: 1.5}, admit.Good)
-	one.runFor(2*time.Second, admit.Pressure{Own: 1.3, Below: 1.5}, admit.NoRoom)
+	one.runFor(time.Second, admit.Pressure{Own: 0.5, Downstream: 1.5}, admit.Succeeded)
+	one.runFor(2*time.Second, admit.Pressure{Own: 1.3, Downstream: 1.5}, admit.OwnServiceFull)
 	is.True(one.share() < 0.5) // its own service is full
-	one.runFor(3*time.Second, admit.Pressure{Own: 0.8, Below: 1.5}, admit.Good)
+	one.runFor(3*time.Second, admit.Pressure{Own: 0.8, Downstream: 1.5}, admit.Succeeded)
 	is.True(one.share() > 0.9)
 
-	one.runFor(2*time.Second, admit.Pressure{Own: 0.8, Below: 1.5}, admit.Overrun)
+	one.runFor(2*time.Second, admit.Pressure{Own: 0.8, Downstream: 1.5}, admit.LoadFailure)
 	is.True(one.share() < 0.5) // now the kind itself meets the bottleneck
 }
 
@@ -508,11 +508,11 @@
 func TestCutKindTakesUpSpareCapacity(t *testing.T) {
 	is := is.New(t)
 	one := newThrottleFixture()
-	one.runFor(time.Second, admit.Pressure{Below: 0.5}, admit.Good)
-	one.runFor(2*time.Second, admit.Pressure{Below: 2.5}, admit.Overrun)
+	one.runFor(time.Second, admit.Pressure{Downstream: 0.5}, admit.Succeeded)
+	one.runFor(2*time.Second, admit.Pressure{Downstream: 2.5}, admit.LoadFailure)
 	cut := one.share()
 	is.True(cut < 0.1)
-	one.runFor(2*time.Second, admit.Pressure{Below: 0.8}, admit.Good)
+	one.runFor(2*time.Second, admit.Pressure{Downstream: 0.8}, admit.Succeeded)
 	t.Logf("%.2f after the cut, %.2f two seconds later", cut, one.share())
 	is.True(one.share() >= 0.25)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -65,7 +65,7 @@
 
 	mu        sync.Mutex
 	services  map[string]*service
-	floors    *admit.Door
+	floors    *admit.EntryGate
 	throttle  *admit.Throttle
 	pressures *admit.Pressures
 	// nestedKinds holds the kinds of which nearly all calls come from targets, as answers
@@ -100,7 +100,7 @@
 )
 
 // Init creates the sender's internal state. It must be called before any other method.
-func (s *Sender) Init(door *admit.Door) {
+func (s *Sender) Init(door *admit.EntryGate) {
 	s.services = map[string]*service{}
 	s.floors = door
 	s.throttle = admit.NewThrottle()
@@ -119,8 +119,8 @@
 		return 1, true
 	}
 	now := s.Clock.Now()
-	s.throttle.Press(now, kind.Name, s.pressures.Of(now, kind.Name, kind.Service))
-	ok = s.throttle.Offer(now, kind.Name, kind.Importance, s.Route.Random())
+	s.throttle.SetPressure(now, kind.Name, s.pressures.ForKind(now, kind.Name, kind.Service))
+	ok = s.throttle.Allow(now, kind.Name, kind.Importance, s.Route.Random())
 	return s.throttle.Share(kind.Name), ok
 }
 
@@ -128,20 +128,20 @@
 func (s *Sender) Ended(kind *schema.Kind, code result.Code) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.throttle.Ended(s.Clock.Now(), kind.Name, loadSignal(code))
+	s.throttle.RecordEnd(s.Clock.Now(), kind.Name, loadSignal(code))
 }
 
 // loadSignal returns what the result of a request tells the throttle about load.
-func loadSignal(code result.Code) admit.End {
+func loadSignal(code result.Code) admit.RequestEnd {
 	switch code {
 	case result.OK, result.Replayed:
-		return admit.Good
+		return admit.Succeeded
 	case result.TimedOut, result.TargetFailed, result.PartlyRun:
-		return admit.Overrun
+		return admit.LoadFailure
 	case result.DeadlinePassed, result.Overloaded, result.QueueExpired, result.Evicted, result.TargetShed, result.TargetStopped:
-		return admit.NoRoom
+		return admit.OwnServiceFull
 	}
-	return admit.Other
+	return admit.Unrelated
 }
 
 // Update replaces the list of targets of a service.
@@ -184,7 +184,7 @@
 func (s *Sender) Levels(now time.Time, services []string, without string) []*relaypb.Level {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	floors := s.floors.FloorsOf(now, services)
+	floors := s.floors.LevelsOf(now, services)
 	levels := make([]*relaypb.Level, 0, len(floors)+1)
 	for _, floor := range floors {
 		if floor.Node == without {
@@ -312,7 +312,7 @@
 func (s *Sender) isHealthy(kind string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.throttle.Calm(kind)
+	return s.throttle.MostlySucceeds(kind)
 }
 
 // learnFloors records the floors that came with an answer.
--- a/internal/entry/kinds.go
+++ b/internal/entry/kinds.go
@@ -23,8 +23,8 @@
 func (s *Sender) Keep(declared func(kind string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.throttle.Keep(declared)
-	s.pressures.Keep(declared)
+	s.throttle.RetainKinds(declared)
+	s.pressures.RetainKinds(declared)
 	maps.DeleteFunc(s.nestedKinds, func(kind string, _ nestedKind) bool { return !declared(kind) })
 	maps.DeleteFunc(s.pressureSentAt, func(kind string, _ time.Time) bool { return !declared(kind) })
 }
--- a/internal/entry/near_test.go
+++ b/internal/entry/near_test.go
@@ -54,7 +54,7 @@
 		RetryShare: func(string) float64 { return 0.1 },
 		Moved:      func() {},
 	}
-	s.Init(admit.NewDoor())
+	s.Init(admit.NewEntryGate())
 	s.Update(order().Kind.Service, []route.Target{{Name: "node", Incarnation: s.Self, Address: "127.0.0.1:1"}})
 	return s
 }
--- a/internal/entry/outcome_test.go
+++ b/internal/entry/outcome_test.go
@@ -21,7 +21,7 @@
 	is := is.New(t)
 	s := &Sender{Clock: clock.System{}, Metrics: metric.New(), RetryShare: func(string) float64 { return 0.1 }}
 	s.Route.Random = func() float64 { return 0.5 }
-	s.Init(admit.NewDoor())
+	s.Init(admit.NewEntryGate())
 	state := &sendState{sender: s, call: order()}
 	service := state.call.Kind.Service
 	lost := route.Target{Name: "lost", Incarnation: "a"}
--- a/internal/entry/pressure.go
+++ b/internal/entry/pressure.go
@@ -39,19 +39,19 @@
 		s.nestedKinds[kind.Name] = nestedKind{service: kind.Service, at: now}
 	}
 	for _, pressed := range response.Pressed {
-		s.pressures.Hear(now, admit.Heard{
+		s.pressures.Update(now, admit.PressureReport{
 			Service:  pressed.Service,
 			Pressure: float64(pressed.Permille) / permille,
 			Age:      time.Duration(pressed.AgeMs) * time.Millisecond,
 		})
 		if pressed.Below {
-			s.pressures.Leads(now, kind.Name, pressed.Service)
+			s.pressures.AddDownstream(now, kind.Name, pressed.Service)
 		}
 	}
 	// The load of a leaving target says nothing about the targets that stay. Until one of
 	// these answers, the pressure reported by other nodes remains in force.
 	if pressure, known := s.service(kind.Service).table.Pressure(now); known {
-		s.pressures.Hear(now, admit.Heard{Service: kind.Service, Pressure: pressure})
+		s.pressures.Update(now, admit.PressureReport{Service: kind.Service, Pressure: pressure})
 	}
 }
 
@@ -65,7 +65,7 @@
 	if now.Sub(s.pressureSentAt[kind]) < pressureInterval {
 		return nil
 	}
-	reports := s.pressures.Told(now)
+	reports := s.pressures.Reports(now)
 	if len(reports) == 0 {
 		return nil
 	}
@@ -90,7 +90,7 @@
 	for kind, nested := range s.nestedKinds {
 		if now.Sub(nested.at) < nestedKindTTL {
 			services = append(services, nested.service)
-			services = append(services, s.pressures.Below(now, kind)...)
+			services = append(services, s.pressures.Downstream(now, kind)...)
 		}
 	}
 	return services
--- a/internal/entry/silent_test.go
+++ b/internal/entry/silent_test.go
@@ -154,7 +154,7 @@
 		RetryShare: func(string) float64 { return 0.1 },
 		Moved:      func() {},
 	}
-	b.sender.Init(admit.NewDoor())
+	b.sender.Init(admit.NewEntryGate())
 	b.sender.Update(order().Kind.Service, []route.Target{{Name: "node", Incarnation: "inc-1", Address: b.proxy.listener.Addr().String()}})
 	return b
 }
--- a/internal/filter/door_test.go
+++ b/internal/filter/door_test.go
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	now := time.Unix(1_800_000_000, 0)
-	door := admit.NewDoor()
+	door := admit.NewEntryGate()
 	door.Learn(now, "lots", "node-lots-1", admit.Order(schema.High, 0), 0)
 	for _, tc := range []admissionCase{
 		{"two calls above the full service", http.MethodPost, "/rounds", "", result.DoorClosed, "lots"},
@@ -115,7 +115,7 @@
 	}
 }
 
-func runAdmissionCase(set *schema.Set, door *admit.Door, now time.Time, tc admissionCase) *call.Answer {
+func runAdmissionCase(set *schema.Set, door *admit.EntryGate, now time.Time, tc admissionCase) *call.Answer {
 	inward := newTestFilters(now, func() *Rules { return rulesOf(set) })
 	inward.Serving = func(handle string) (*call.Serving, bool) {
 		return &call.Serving{Deadline: now.Add(time.Second), Tokens: call.NewTokens(0)}, handle == "known"
--- a/internal/local/attempt.go
+++ b/internal/local/attempt.go
@@ -193,13 +193,13 @@
 		return result.Leaving
 	}
 	decision := s.settings.Gate.Offer(s.settings.Clock.Now(), admit.Call{
-		ID:         id,
-		Kind:       a.kind.Name,
-		Importance: a.serving.Importance,
-		Position:   a.position(),
-		Deadline:   a.serving.Deadline,
-		First:      a.request.Earlier == relaypb.Earlier_EARLIER_UNSPECIFIED,
-		Waits:      a.serving.Waits,
+		ID:               id,
+		Kind:             a.kind.Name,
+		Importance:       a.serving.Importance,
+		Position:         a.position(),
+		Deadline:         a.serving.Deadline,
+		FirstAttempt:     a.request.Earlier == relaypb.Earlier_EARLIER_UNSPECIFIED,
+		AwaitsDownstream: a.serving.Waits,
 	})
 	if decision.Verdict == admit.Queued {
 		s.waiting[id] = a
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -332,7 +332,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.origins.retain(declared)
-	s.settings.Gate.Keep(declared)
+	s.settings.Gate.RetainKinds(declared)
 }
 
 // Ledger calls use with the ledger of idempotency keys while it holds the server's mutex.
@@ -399,7 +399,7 @@
 func (s *Server) recordLiveness() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settings.Gate.Sign(s.settings.Clock.Now())
+	s.settings.Gate.RecordActivity(s.settings.Clock.Now())
 }
 
 // maintain drops expired records, updates the retry budget and exports statistics.
--- a/internal/node/doors.go
+++ b/internal/node/doors.go
@@ -121,7 +121,7 @@
 func (n *Node) announcedSettings(target beat.Target) admit.Settings {
 	settings := n.gateSettings(n.declared(n.settings.Service))
 	if target.Slots > 0 {
-		settings.Slots = admit.Usable(target.Slots)
+		settings.Slots = admit.UsableSlots(target.Slots)
 		settings.Queue = queueFactor * settings.Slots
 	}
 	settings.Opaque = true
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -122,7 +122,7 @@
 		Moved:      n.members.Kick,
 	}
 	s.SharedBudget = n.settings.RetryWindow > 0
-	s.Init(admit.NewDoor())
+	s.Init(admit.NewEntryGate())
 	return s
 }
 
