--- a/internal/admit/loop_test.go
+++ b/internal/admit/loop_test.go
@@ -212,7 +212,7 @@
 			for _, level := range levels {
 				from.door.Learn(l.now, level.Service, level.Node, level.Floor, level.Age)
 			}
-			from.table.Ended(l.now, to.name, route.Report{Outcome: outcome, Known: true, InFlight: load.InFlight, Limit: load.Limit, Queued: load.Queued})
+			from.table.Ended(l.now, to.name, route.Report{Outcome: outcome, HasLoad: true, InFlight: load.InFlight, Limit: load.Limit, Queued: load.Queued})
 			if outcome == route.Refused {
 				l.refused++
 			}
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -85,8 +85,8 @@
 	Position   uint16
 	Deadline   time.Time
 	Tokens     *Tokens
-	// Moved is called when the target begins or ends a call of its own. It may be nil.
-	Moved func()
+	// OnChildChange is called when the target begins or ends a call of its own. It may be nil.
+	OnChildChange func()
 
 	mu              sync.Mutex
 	pendingChildren int
@@ -158,8 +158,8 @@
 	}
 }
 
-// Waits reports whether the target is waiting for a call that it made.
-func (s *Serving) Waits() bool {
+// WaitsForChild reports whether the target is waiting for a call that it made.
+func (s *Serving) WaitsForChild() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pendingChildren > 0
@@ -167,8 +167,8 @@
 
 // notify calls Moved if it is set.
 func (s *Serving) notify() {
-	if s.Moved != nil {
-		s.Moved()
+	if s.OnChildChange != nil {
+		s.OnChildChange()
 	}
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -39,18 +39,18 @@
 	Client     *relay.Client
 	// Self is the incarnation of this node. Beside runs an attempt at the target beside
 	// this node, and returns nil when the context ends first.
-	Self    string
-	Beside  func(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse
-	Route   route.Settings
-	Backoff budget.Backoff
+	Self     string
+	RunLocal func(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse
+	Route    route.Settings
+	Backoff  budget.Backoff
 	// Owner returns the incarnation that owns a key of a service, or the code that says
 	// why the key has no owner. A fresh key was never sent before.
 	Owner func(service string, key once.Key, fresh bool) (string, result.Code)
-	// Settling reports whether the owner of a key is being replaced, so that the key will
+	// OwnerChanging reports whether the owner of a key is being replaced, so that the key will
 	// soon have another owner.
-	Settling func(service string, key once.Key) bool
-	// Covered reports whether the plan known to this node names an owner for the key.
-	Covered func(service string, key once.Key) bool
+	OwnerChanging func(service string, key once.Key) bool
+	// PlanCovers reports whether the plan known to this node names an owner for the key.
+	PlanCovers func(service string, key once.Key) bool
 	// Opaque is set if the node cannot tell for which request a target makes a call of
 	// its own. Attempts then carry no retry tokens, because nothing could spend them.
 	Opaque bool
@@ -59,9 +59,9 @@
 	SharedBudget bool
 	// RetryShare returns the declared ratio of retries to completed calls of a service.
 	RetryShare func(service string) float64
-	// Moved is called when an attempt shows that the local view of members or plans is
+	// OnStaleView is called when an attempt shows that the local view of members or plans is
 	// stale, for instance because the incarnation that it was addressed to is gone.
-	Moved func()
+	OnStaleView func()
 
 	mu        sync.Mutex
 	services  map[string]*service
@@ -124,8 +124,8 @@
 	return s.throttle.Share(kind.Name), ok
 }
 
-// Ended records for the throttle how an admitted request ended.
-func (s *Sender) Ended(kind *schema.Kind, code result.Code) {
+// RecordEnd records for the throttle how an admitted request ended.
+func (s *Sender) RecordEnd(kind *schema.Kind, code result.Code) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.throttle.RecordEnd(s.Clock.Now(), kind.Name, loadSignal(code))
@@ -280,7 +280,7 @@
 	}
 	service := c.Kind.Service
 	owner, code := s.Owner(service, key, c.KeyFresh)
-	if code == result.OwnerGone && (!s.Covered(service, key) || s.Settling(service, key)) {
+	if code == result.OwnerGone && (!s.PlanCovers(service, key) || s.OwnerChanging(service, key)) {
 		code = result.OwnerUnclear
 	}
 	return owner, code
@@ -301,8 +301,8 @@
 	state.latency += time.Duration(latencyWeight * float64(report.Latency-state.latency))
 }
 
-// Learn records the current floor of one node for its service.
-func (s *Sender) Learn(service, node string, floor uint32) {
+// LearnFloor records the current floor of one node for its service.
+func (s *Sender) LearnFloor(service, node string, floor uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.floors.Learn(s.Clock.Now(), service, node, floor, 0)
@@ -412,7 +412,7 @@
 // attempt runs in the same way but without a socket.
 func (s *Sender) carry(ctx context.Context, target route.Target, request *relaypb.CarryRequest) (*relaypb.CarryResponse, error) {
 	if node, _ := relay.SplitIncarnation(target.Incarnation); node == s.Self {
-		response := s.Beside(ctx, request)
+		response := s.RunLocal(ctx, request)
 		if response == nil {
 			return nil, ctx.Err()
 		}
--- a/internal/entry/kinds.go
+++ b/internal/entry/kinds.go
@@ -12,15 +12,15 @@
 	return s.pressures.Fresh(s.Clock.Now())
 }
 
-// Admitted returns the admitted share of the requests of each kind.
-func (s *Sender) Admitted() map[string]float64 {
+// AdmittedShares returns the admitted share of the requests of each kind.
+func (s *Sender) AdmittedShares() map[string]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.throttle.Shares()
 }
 
-// Keep drops the state of kinds that are not declared.
-func (s *Sender) Keep(declared func(kind string) bool) {
+// RetainKinds drops the state of kinds that are not declared.
+func (s *Sender) RetainKinds(declared func(kind string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.throttle.RetainKinds(declared)
--- a/internal/entry/near_test.go
+++ b/internal/entry/near_test.go
@@ -46,13 +46,13 @@
 		Log:     hclog.NewNullLogger(),
 		Client:  relay.NewClient(),
 		Self:    localIncarnation,
-		Beside: func(_ context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
+		RunLocal: func(_ context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
 			return beside(request)
 		},
-		Route:      route.Settings{Random: func() float64 { return 0 }},
-		Backoff:    budget.Backoff{Base: time.Millisecond, Max: time.Millisecond, Random: func() float64 { return 0 }},
-		RetryShare: func(string) float64 { return 0.1 },
-		Moved:      func() {},
+		Route:       route.Settings{Random: func() float64 { return 0 }},
+		Backoff:     budget.Backoff{Base: time.Millisecond, Max: time.Millisecond, Random: func() float64 { return 0 }},
+		RetryShare:  func(string) float64 { return 0.1 },
+		OnStaleView: func() {},
 	}
 	s.Init(admit.NewEntryGate())
 	s.Update(order().Kind.Service, []route.Target{{Name: "node", Incarnation: s.Self, Address: "127.0.0.1:1"}})
--- a/internal/entry/onward_test.go
+++ b/internal/entry/onward_test.go
@@ -34,7 +34,7 @@
 			b.sender.Update(order().Kind.Service, []route.Target{beside, other})
 			c := order()
 			c.Tokens = call.NewTokens(test.tokens)
-			answer := b.sender.Onward(t.Context(), c, test.refused)
+			answer := b.sender.SendElsewhere(t.Context(), c, test.refused)
 			is.Equal(answer.Code, test.code)
 			is.Equal(b.runs.Load(), test.runs)
 			is.Equal(c.Tokens.Left(), test.left)
--- a/internal/entry/owner_test.go
+++ b/internal/entry/owner_test.go
@@ -47,8 +47,8 @@
 				}
 				return view.owner, result.OK
 			}
-			s.Covered = func(string, once.Key) bool { return view.covered }
-			s.Settling = func(string, once.Key) bool { return view.settling }
+			s.PlanCovers = func(string, once.Key) bool { return view.covered }
+			s.OwnerChanging = func(string, once.Key) bool { return view.settling }
 			c := order()
 			c.Key = once.Mint(time.Now()).Text
 			c.Tokens = call.NewTokens(0)
@@ -69,7 +69,7 @@
 			return &relaypb.CarryResponse{AttemptId: request.AttemptId, Code: uint32(result.OwnerGone)}
 		})
 		s.Owner = func(string, once.Key, bool) (string, result.Code) { return owner, result.OK }
-		s.Settling = func(string, once.Key) bool { return false }
+		s.OwnerChanging = func(string, once.Key) bool { return false }
 		c := order()
 		c.Key = once.Mint(time.Now()).Text
 		c.KeyFresh = true
--- a/internal/entry/pressure.go
+++ b/internal/entry/pressure.go
@@ -55,10 +55,10 @@
 	}
 }
 
-// Pressed returns the pressure of services known to this node, to be passed on with the
+// PressureReports returns the pressure of services known to this node, to be passed on with the
 // local target's answer to a call of the kind. It returns nil if an answer to the kind
 // carried the pressure less than pressureInterval ago.
-func (s *Sender) Pressed(kind string) []*relaypb.Pressed {
+func (s *Sender) PressureReports(kind string) []*relaypb.Pressed {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Clock.Now()
--- a/internal/entry/pressure_test.go
+++ b/internal/entry/pressure_test.go
@@ -31,11 +31,11 @@
 		})
 		s.Clock = clock
 		s.Opaque = true
-		is.Equal(len(s.Pressed("order")), 0) // nothing is known yet
+		is.Equal(len(s.PressureReports("order")), 0) // nothing is known yet
 		is.Equal(s.Send(context.Background(), order()).Code, result.OK)
 
 		clock.now = clock.now.Add(200 * time.Millisecond)
-		pressed := s.Pressed("order")
+		pressed := s.PressureReports("order")
 		is.Equal(len(pressed), 2)
 		is.Equal(pressed[0].Service, "scheduler")
 		is.Equal(pressed[0].Permille, uint32(2000))
@@ -43,11 +43,11 @@
 		is.Equal(pressed[0].Below, inner)
 		is.Equal(pressed[1].Service, "elsewhere")
 		is.Equal(pressed[1].Below, false)
-		is.Equal(len(s.Pressed("order")), 0) // the answer before has just carried it
-		is.Equal(len(s.Pressed("other")), 2)
+		is.Equal(len(s.PressureReports("order")), 0) // the answer before has just carried it
+		is.Equal(len(s.PressureReports("other")), 2)
 
 		clock.now = clock.now.Add(time.Second)
-		is.Equal(len(s.Pressed("order")), 0) // stale values are dropped
+		is.Equal(len(s.PressureReports("order")), 0) // stale values are dropped
 	}
 }
 
@@ -66,7 +66,7 @@
 	s.Clock = &fakeClock{now: time.Now()}
 	s.Opaque = true
 	is.Equal(s.Send(context.Background(), order()).Code, result.OK)
-	pressed := s.Pressed("order")
+	pressed := s.PressureReports("order")
 	is.Equal(len(pressed), 1)
 	is.Equal(pressed[0].Permille, uint32(1800))
 }
@@ -85,7 +85,7 @@
 	s.Clock = clock
 	s.Opaque = true
 	s.Metrics.Pressure.From(s.Pressures)
-	s.Metrics.Admitted.From(s.Admitted)
+	s.Metrics.Admitted.From(s.AdmittedShares)
 	kind := order().Kind
 	_, admitted := s.Admits(kind)
 	is.True(admitted)
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -215,7 +215,7 @@
 		// service as a whole does not refuse requests of its order.
 		return s.hasOtherTarget()
 	case result.Leaving, result.OtherIncarnation, result.Unreachable, result.Tombstoned, result.NoConfiguration:
-		s.sender.Moved()
+		s.sender.OnStaleView()
 		return true
 	case result.NoOwner, result.OwnerGone, result.OwnerUnclear:
 		return s.awaitNewOwner(ctx)
@@ -238,12 +238,12 @@
 		return false
 	}
 	for range maxOwnerLookups {
-		s.sender.Moved()
+		s.sender.OnStaleView()
 		owner, code := s.sender.ownerOf(s.call)
 		if code == result.OK && owner != s.lastIncarnation {
 			return true
 		}
-		if !s.sender.Settling(s.call.Kind.Service, key) || ctx.Err() != nil {
+		if !s.sender.OwnerChanging(s.call.Kind.Service, key) || ctx.Err() != nil {
 			return false
 		}
 		s.pause(ctx)
@@ -309,7 +309,7 @@
 		report.Outcome = route.Blameless
 	}
 	if load := response.Load; load != nil && code != result.OtherIncarnation {
-		report.Known = true
+		report.HasLoad = true
 		report.InFlight = int(load.InFlight)
 		report.Limit = int(load.Limit)
 		report.Queued = int(load.Queued)
--- a/internal/entry/silent_test.go
+++ b/internal/entry/silent_test.go
@@ -145,14 +145,14 @@
 	t.Cleanup(target.Close)
 	b.proxy = newProxy(t, serveRelay(t, newServer(target.URL)))
 	b.sender = &Sender{
-		Clock:      clock.System{},
-		Metrics:    metric.New(),
-		Log:        hclog.NewNullLogger(),
-		Client:     relay.NewClient(),
-		Route:      route.Settings{Random: func() float64 { return 0 }},
-		Backoff:    budget.Backoff{Base: time.Millisecond, Max: time.Millisecond, Random: func() float64 { return 0 }},
-		RetryShare: func(string) float64 { return 0.1 },
-		Moved:      func() {},
+		Clock:       clock.System{},
+		Metrics:     metric.New(),
+		Log:         hclog.NewNullLogger(),
+		Client:      relay.NewClient(),
+		Route:       route.Settings{Random: func() float64 { return 0 }},
+		Backoff:     budget.Backoff{Base: time.Millisecond, Max: time.Millisecond, Random: func() float64 { return 0 }},
+		RetryShare:  func(string) float64 { return 0.1 },
+		OnStaleView: func() {},
 	}
 	b.sender.Init(admit.NewEntryGate())
 	b.sender.Update(order().Kind.Service, []route.Target{{Name: "node", Incarnation: "inc-1", Address: b.proxy.listener.Addr().String()}})
--- a/internal/local/attempt.go
+++ b/internal/local/attempt.go
@@ -199,7 +199,7 @@
 		Position:         a.position(),
 		Deadline:         a.serving.Deadline,
 		FirstAttempt:     a.request.Earlier == relaypb.Earlier_EARLIER_UNSPECIFIED,
-		AwaitsDownstream: a.serving.Waits,
+		AwaitsDownstream: a.serving.WaitsForChild,
 	})
 	if decision.Verdict == admit.Queued {
 		s.waiting[id] = a
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -440,12 +440,12 @@
 		done:         make(chan struct{}),
 		gateDecision: make(chan admit.Release, 1),
 		serving: &call.Serving{
-			RequestID:  request.RequestId,
-			Importance: schema.Importance(request.Importance),
-			Position:   uint16(request.Position),
-			Deadline:   now.Add(time.Duration(request.TimeLeftMs) * time.Millisecond),
-			Tokens:     call.NewTokens(int(request.Tokens)),
-			Moved:      s.recordLiveness,
+			RequestID:     request.RequestId,
+			Importance:    schema.Importance(request.Importance),
+			Position:      uint16(request.Position),
+			Deadline:      now.Add(time.Duration(request.TimeLeftMs) * time.Millisecond),
+			Tokens:        call.NewTokens(int(request.Tokens)),
+			OnChildChange: s.recordLiveness,
 		},
 	}
 	s.attempts[request.AttemptId] = a
--- a/internal/node/kinds_test.go
+++ b/internal/node/kinds_test.go
@@ -35,14 +35,14 @@
 		kind := schema.Kind{Name: fmt.Sprint("kind-", number), Service: "s"}
 		_, admitted := n.sender.Admits(&kind)
 		is.True(admitted)
-		n.sender.Ended(&kind, result.OK)
+		n.sender.RecordEnd(&kind, result.OK)
 		n.metrics.Requests.WithLabelValues(kind.Name, result.OK.String()).Inc()
 		n.metrics.RequestSeconds.WithLabelValues(kind.Name).Observe(1)
 		if number > 1 { // a request of the previous kind ends late
 			n.metrics.Requests.WithLabelValues(fmt.Sprint("kind-", number-1), result.OK.String()).Inc()
 		}
 	}
-	is.Equal(len(n.sender.Admitted()), 1)
+	is.Equal(len(n.sender.AdmittedShares()), 1)
 	families, err := n.metrics.Registry.Gather()
 	is.NoErr(err)
 	series := map[string]int{}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -134,7 +134,7 @@
 	n.sender = n.newSender()
 	n.local = n.newLocal()
 	n.metrics.Pressure.From(n.sender.Pressures)
-	n.metrics.Admitted.From(n.sender.Admitted)
+	n.metrics.Admitted.From(n.sender.AdmittedShares)
 	n.callers = n.callerServer()
 	return n
 }
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -105,7 +105,7 @@
 		Log:        n.log.Named("entry"),
 		Client:     n.client,
 		Self:       n.incarnation,
-		Beside: func(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
+		RunLocal: func(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
 			return n.local.Carry(ctx, request)
 		},
 		Route: route.Settings{
@@ -113,13 +113,13 @@
 			Region:     n.settings.Region,
 			Random:     rand.Float64,
 		},
-		Backoff:    budget.Backoff{Base: backoffBase, Max: backoffMax, Random: rand.Float64},
-		Owner:      n.ownerOf,
-		Settling:   n.ownerChanging,
-		Covered:    n.ownerKnown,
-		Opaque:     n.targetsAnnounce(),
-		RetryShare: n.retryShare,
-		Moved:      n.members.Kick,
+		Backoff:       budget.Backoff{Base: backoffBase, Max: backoffMax, Random: rand.Float64},
+		Owner:         n.ownerOf,
+		OwnerChanging: n.ownerChanging,
+		PlanCovers:    n.ownerKnown,
+		Opaque:        n.targetsAnnounce(),
+		RetryShare:    n.retryShare,
+		OnStaleView:   n.members.Kick,
 	}
 	s.SharedBudget = n.settings.RetryWindow > 0
 	s.Init(admit.NewEntryGate())
@@ -158,7 +158,7 @@
 	}
 	if n.targetsAnnounce() {
 		admits = n.admits
-		pressed = n.sender.Pressed
+		pressed = n.sender.PressureReports
 	}
 	return local.New(local.Settings{
 		Incarnation: n.incarnation,
@@ -180,9 +180,9 @@
 		ShedStatus:  n.shedStatus,
 		Levels:      n.knownFloors,
 		Learn: func(floor uint32) {
-			n.sender.Learn(n.settings.Service, n.incarnation, floor)
+			n.sender.LearnFloor(n.settings.Service, n.incarnation, floor)
 		},
-		Onward:   n.sender.Onward,
+		Onward:   n.sender.SendElsewhere,
 		Revision: n.config.Number,
 		Requests: func() int64 { return n.callers.Taken() },
 	})
@@ -218,7 +218,7 @@
 		// Where calls do not name the request that they are made for, their floors say
 		// nothing at the request's entry. The throttle goes by the results of requests.
 		inboundFilters.Admits = n.sender.Admits
-		inboundFilters.Ended = n.sender.Ended
+		inboundFilters.Ended = n.sender.RecordEnd
 		inboundFilters.Allows = nil
 	}
 	return inboundFilters
--- a/internal/node/rules.go
+++ b/internal/node/rules.go
@@ -79,7 +79,7 @@
 		_, ok := chains[kind]
 		return ok
 	}
-	n.sender.Keep(declared)
+	n.sender.RetainKinds(declared)
 	n.local.Keep(declared)
 	n.metrics.Keep(slices.Collect(maps.Keys(chains)))
 }
--- a/internal/route/entry.go
+++ b/internal/route/entry.go
@@ -88,7 +88,7 @@
 // ejected.
 func (e *entry) ended(now time.Time, r Report) bool {
 	e.inFlight = max(0, e.inFlight-1)
-	if r.Known {
+	if r.HasLoad {
 		e.reportedLoad = r.InFlight + r.Queued
 		e.offeredLoad = r.Offered
 		e.reportedLimit = r.Limit
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -66,9 +66,9 @@
 		// Offered is how many slots all calls that arrive at the target would occupy.
 		Offered float64
 		Leaving bool
-		// Known is set if the load fields are: InFlight, Limit, Queued, Offered and
+		// HasLoad is set if the load fields are: InFlight, Limit, Queued, Offered and
 		// Leaving.
-		Known bool
+		HasLoad bool
 	}
 
 	// Settings describes the location of the node that uses a table.
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -80,7 +80,7 @@
 				return false
 			}
 			sim.running[l.target]--
-			sim.table.Ended(sim.now, l.target, Report{Outcome: l.outcome, Known: l.outcome != Silent, InFlight: sim.running[l.target], Limit: slotsPerTarget})
+			sim.table.Ended(sim.now, l.target, Report{Outcome: l.outcome, HasLoad: l.outcome != Silent, InFlight: sim.running[l.target], Limit: slotsPerTarget})
 			if l.outcome != Complete {
 				sim.failed++
 			}
@@ -307,7 +307,7 @@
 			}
 			leaving := random.IntN(10) == 0
 			left[target.Incarnation] = left[target.Incarnation] || leaving
-			table.Ended(now, target.Name, Report{Outcome: Outcome(random.IntN(6)), Known: true, Limit: 10, Leaving: leaving})
+			table.Ended(now, target.Name, Report{Outcome: Outcome(random.IntN(6)), HasLoad: true, Limit: 10, Leaving: leaving})
 		}
 	})
 }
