--- a/internal/beat/beat.go
+++ b/internal/beat/beat.go
@@ -17,8 +17,8 @@
 	// Verdict is the effect of a heartbeat.
 	Verdict uint8
 
-	// Beat is one heartbeat.
-	Beat struct {
+	// Heartbeat is one heartbeat.
+	Heartbeat struct {
 		// ID identifies one process of the target.
 		ID      string
 		Service string
@@ -28,25 +28,25 @@
 		Warmup time.Duration
 		// Sequence increases with every heartbeat of a process.
 		Sequence int64
-		// BornMS is the start time of the process in Unix milliseconds, or 0 if unknown.
-		BornMS int64
+		// StartedMS is the start time of the process in Unix milliseconds, or 0 if unknown.
+		StartedMS int64
 	}
 
 	// Target is the current process of a target.
 	Target struct {
-		Beat
+		Heartbeat
 		// LastHeartbeat is the time at which its last heartbeat arrived.
 		LastHeartbeat time.Time
-		// Left is the time at which its departure first became known, or zero if it is
+		// LeavingSince is the time at which its departure first became known, or zero if it is
 		// not leaving.
-		Left time.Time
+		LeavingSince time.Time
 		// ColdUntil is the end of its warm-up.
 		ColdUntil time.Time
 	}
 
-	// Book determines the current process of one target from its heartbeats. The zero
+	// Tracker determines the current process of one target from its heartbeats. The zero
 	// value is ready for use.
-	Book struct {
+	Tracker struct {
 		current    Target
 		hasCurrent bool
 		// ended holds the start times of processes that were replaced or are gone, by
@@ -65,13 +65,13 @@
 
 // These are the verdicts on a heartbeat.
 const (
-	// Taken means that the heartbeat changed nothing but the time of the last heartbeat.
-	Taken Verdict = iota
+	// Unchanged means that the heartbeat changed nothing but the time of the last heartbeat.
+	Unchanged Verdict = iota
 	// Changed means that another process is now the current one, or that the current
 	// process has a different state, service or number of slots.
 	Changed
-	// Late means that the heartbeat is older than what is already known, and is ignored.
-	Late
+	// Stale means that the heartbeat is older than what is already known, and is ignored.
+	Stale
 )
 
 // maxEnded is the largest number of ended processes that are remembered.
@@ -82,21 +82,21 @@
 	return [...]string{"ready", "draining", "gone", "unknown"}[s&3]
 }
 
-// Take processes one heartbeat.
-func (b *Book) Take(now time.Time, beat Beat) Verdict {
-	if b.hasCurrent && beat.ID == b.current.ID && beat.BornMS == b.current.BornMS {
+// Observe processes one heartbeat.
+func (b *Tracker) Observe(now time.Time, beat Heartbeat) Verdict {
+	if b.hasCurrent && beat.ID == b.current.ID && beat.StartedMS == b.current.StartedMS {
 		return b.update(now, beat)
 	}
 	if b.superseded(beat) {
-		return Late
+		return Stale
 	}
 	if b.hasCurrent {
-		b.markEnded(b.current.ID, b.current.BornMS)
+		b.markEnded(b.current.ID, b.current.StartedMS)
 	}
 	b.hasCurrent = true
-	b.current = Target{Beat: beat, LastHeartbeat: now, ColdUntil: now.Add(beat.Warmup)}
+	b.current = Target{Heartbeat: beat, LastHeartbeat: now, ColdUntil: now.Add(beat.Warmup)}
 	if beat.State != Ready {
-		b.current.Left = now
+		b.current.LeavingSince = now
 	}
 	return Changed
 }
@@ -104,8 +104,8 @@
 // Depart records that a process has announced that it is gone. bornMS is the start time of the
 // process, or 0 if the announcement does not contain it. Depart reports whether the current
 // target has changed.
-func (b *Book) Depart(now time.Time, id string, bornMS int64) bool {
-	if !b.hasCurrent || b.current.ID != id || bornMS != 0 && bornMS < b.current.BornMS {
+func (b *Tracker) Depart(now time.Time, id string, bornMS int64) bool {
+	if !b.hasCurrent || b.current.ID != id || bornMS != 0 && bornMS < b.current.StartedMS {
 		b.markEnded(id, bornMS)
 		return false
 	}
@@ -113,35 +113,35 @@
 		return false
 	}
 	b.current.State = Gone
-	if b.current.Left.IsZero() {
-		b.current.Left = now
+	if b.current.LeavingSince.IsZero() {
+		b.current.LeavingSince = now
 	}
 	return true
 }
 
 // Target returns the current process, or false before the first heartbeat.
-func (b *Book) Target() (Target, bool) {
+func (b *Tracker) Target() (Target, bool) {
 	return b.current, b.hasCurrent
 }
 
 // update processes a further heartbeat of the current process.
-func (b *Book) update(now time.Time, beat Beat) Verdict {
+func (b *Tracker) update(now time.Time, beat Heartbeat) Verdict {
 	before := b.current
 	if beat.Sequence <= before.Sequence {
 		if beat.State <= before.State {
-			return Late
+			return Stale
 		}
 		// A departure counts however late its heartbeat arrives, because the node
 		// confirms it to the target.
 		late := beat.State
-		beat = before.Beat
+		beat = before.Heartbeat
 		beat.State = late
 	}
 	beat.State = max(beat.State, before.State)
-	b.current.Beat = beat
+	b.current.Heartbeat = beat
 	b.current.LastHeartbeat = now
-	if beat.State != Ready && before.Left.IsZero() {
-		b.current.Left = now
+	if beat.State != Ready && before.LeavingSince.IsZero() {
+		b.current.LeavingSince = now
 	}
 	if beat.Warmup > 0 {
 		b.current.ColdUntil = now.Add(beat.Warmup)
@@ -149,19 +149,19 @@
 	if beat.State != before.State || beat.Slots != before.Slots || beat.Service != before.Service {
 		return Changed
 	}
-	return Taken
+	return Unchanged
 }
 
 // superseded reports whether a heartbeat comes from a process that has ended.
-func (b *Book) superseded(beat Beat) bool {
-	if b.hasCurrent && beat.BornMS != 0 && b.current.BornMS != 0 && beat.BornMS != b.current.BornMS {
-		return beat.BornMS < b.current.BornMS
+func (b *Tracker) superseded(beat Heartbeat) bool {
+	if b.hasCurrent && beat.StartedMS != 0 && b.current.StartedMS != 0 && beat.StartedMS != b.current.StartedMS {
+		return beat.StartedMS < b.current.StartedMS
 	}
 	born, ended := b.ended[beat.ID]
-	return ended && beat.BornMS <= born
+	return ended && beat.StartedMS <= born
 }
 
-func (b *Book) markEnded(id string, bornMS int64) {
+func (b *Tracker) markEnded(id string, bornMS int64) {
 	if b.ended == nil {
 		b.ended = map[string]int64{}
 	}
--- a/internal/beat/beat_test.go
+++ b/internal/beat/beat_test.go
@@ -15,7 +15,7 @@
 // TestScripts processes the heartbeats in the data files and prints the target after each.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var book beat.Book
+		var book beat.Tracker
 		start := time.Unix(0, 0)
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var atMS int
@@ -37,8 +37,8 @@
 				return verdict + ": no target"
 			}
 			line := fmt.Sprintf("%s: %s %s slots=%d", verdict, target.ID, target.State, target.Slots)
-			if !target.Left.IsZero() {
-				line += fmt.Sprintf(" left=%d", target.Left.Sub(start).Milliseconds())
+			if !target.LeavingSince.IsZero() {
+				line += fmt.Sprintf(" left=%d", target.LeavingSince.Sub(start).Milliseconds())
 			}
 			if target.ColdUntil.After(now) {
 				line += fmt.Sprintf(" cold_until=%d", target.ColdUntil.Sub(start).Milliseconds())
@@ -48,7 +48,7 @@
 	})
 }
 
-func play(t *testing.T, d *datadriven.TestData, book *beat.Book, now time.Time, id string, born int64) string {
+func play(t *testing.T, d *datadriven.TestData, book *beat.Tracker, now time.Time, id string, born int64) string {
 	t.Helper()
 	sequence, slots, warmup := 0, 10, 0
 	state := "ready"
@@ -57,8 +57,8 @@
 	d.MaybeScanArgs(t, "state", &state)
 	d.MaybeScanArgs(t, "warmup", &warmup)
 	states := map[string]beat.State{"ready": beat.Ready, "draining": beat.Draining}
-	verdict := book.Take(now, beat.Beat{
-		ID: id, Service: "stock", Slots: slots, State: states[state], Sequence: int64(sequence), BornMS: born,
+	verdict := book.Observe(now, beat.Heartbeat{
+		ID: id, Service: "stock", Slots: slots, State: states[state], Sequence: int64(sequence), StartedMS: born,
 		Warmup: time.Duration(warmup) * time.Millisecond,
 	})
 	return [...]string{"taken", "changed", "late"}[verdict]
@@ -66,7 +66,7 @@
 
 func TestNothingKnown(t *testing.T) {
 	is := is.New(t)
-	var book beat.Book
+	var book beat.Tracker
 	_, known := book.Target()
 	is.True(!known)
 	is.True(strings.Contains(beat.Draining.String(), "draining"))
--- a/internal/budget/bench_test.go
+++ b/internal/budget/bench_test.go
@@ -12,11 +12,11 @@
 
 // useBudgets performs the budget operations of one call: tokens are lent and returned, the call
 // completes, and a retry is requested.
-func useBudgets(now time.Time, pool *Purse, allowance *Allowance) {
-	loan := pool.LendTo()
+func useBudgets(now time.Time, pool *TokenPool, allowance *Allowance) {
+	loan := pool.LendTracked()
 	loan.Return(loan.Tokens)
 	allowance.Completed(now)
-	allowance.TryRepeat(now)
+	allowance.TryRetry(now)
 }
 
 // TestAllowanceKeepsNoHistory checks that the memory of an allowance does not grow with the
@@ -28,7 +28,7 @@
 		for range callsPerBatch {
 			now = now.Add(time.Millisecond)
 			allowance.Completed(now)
-			allowance.TryRepeat(now)
+			allowance.TryRetry(now)
 		}
 	})
 	is.Equal(made, 0.0)
@@ -45,7 +45,7 @@
 				names[i] = "service-" + strconv.Itoa(i)
 				allowances[names[i]] = NewAllowance(0.1, 10)
 			}
-			pool, now := &Purse{Tokens: 3}, testStart
+			pool, now := &TokenPool{Tokens: 3}, testStart
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(time.Millisecond)
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -23,8 +23,8 @@
 )
 
 type (
-	// Purse holds the retry tokens of one request or attempt at one node.
-	Purse struct {
+	// TokenPool holds the retry tokens of one request or attempt at one node.
+	TokenPool struct {
 		// Tokens is the number of retries that the holder may still make or lend.
 		Tokens int
 
@@ -37,7 +37,7 @@
 		// Tokens is the number of tokens to send with the attempt.
 		Tokens int
 
-		lender   *Purse
+		lender   *TokenPool
 		returned bool
 	}
 
@@ -61,7 +61,7 @@
 )
 
 // Spend takes one token for a retry and reports whether there was one.
-func (p *Purse) Spend() bool {
+func (p *TokenPool) Spend() bool {
 	if p.Tokens <= 0 {
 		return false
 	}
@@ -75,7 +75,7 @@
 // A retry further down the call chain repeats less work, which is a reason to lend many
 // tokens. Lent tokens come back with the answer or not at all, which is a reason to keep
 // some. With 3 tokens, the nodes of a chain lend 2, then 1, then 1.
-func (p *Purse) Lend() int {
+func (p *TokenPool) Lend() int {
 	lent := (max(p.Tokens, 0) + 1) / 2
 	p.Tokens -= lent
 	p.outstanding += lent
@@ -84,16 +84,16 @@
 
 // Return puts back n tokens that came back with an answer, but no more than are lent. The
 // caller must return the tokens of each answer only once; a Loan ensures this itself.
-func (p *Purse) Return(n int) {
+func (p *TokenPool) Return(n int) {
 	n = min(max(n, 0), p.outstanding)
 	p.outstanding -= n
 	p.Tokens += n
 }
 
-// LendTo lends the same number of tokens as Lend, and tracks those of the one attempt. With
+// LendTracked lends the same number of tokens as Lend, and tracks those of the one attempt. With
 // several attempts in flight, a duplicate answer of one attempt cannot bring back the tokens
 // that another attempt still holds.
-func (p *Purse) LendTo() *Loan {
+func (p *TokenPool) LendTracked() *Loan {
 	return &Loan{Tokens: p.Lend(), lender: p}
 }
 
@@ -121,8 +121,8 @@
 	a.tokens = min(a.tokens+a.share, a.burst)
 }
 
-// TryRepeat takes one token for a retry from the allowance and reports whether there was one.
-func (a *Allowance) TryRepeat(now time.Time) bool {
+// TryRetry takes one token for a retry from the allowance and reports whether there was one.
+func (a *Allowance) TryRetry(now time.Time) bool {
 	a.advance(now)
 	if a.tokens < 1 {
 		return false
@@ -157,8 +157,8 @@
 	return time.Duration(delay * (minJitter + (1-minJitter)*b.Random()))
 }
 
-// Worthwhile reports whether a retry that is sent after the delay and takes the expected time
+// FitsDeadline reports whether a retry that is sent after the delay and takes the expected time
 // ends by the deadline.
-func Worthwhile(now, deadline time.Time, delay, expected time.Duration) bool {
+func FitsDeadline(now, deadline time.Time, delay, expected time.Duration) bool {
 	return !now.Add(delay + expected).After(deadline)
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -23,7 +23,7 @@
 
 // serve handles a call with the tokens lent to it and returns the number of tokens left.
 func (c *tree) serve(depth, tokens int) int {
-	pool := &Purse{Tokens: tokens}
+	pool := &TokenPool{Tokens: tokens}
 	if depth == 0 {
 		return pool.Tokens
 	}
@@ -34,9 +34,9 @@
 }
 
 // call sends a call and retries it while it fails and there are tokens.
-func (c *tree) call(depth int, pool *Purse) {
+func (c *tree) call(depth int, pool *TokenPool) {
 	for {
-		loan := pool.LendTo()
+		loan := pool.LendTracked()
 		left := c.serve(depth-1, loan.Tokens)
 		switch fate := c.random("fate"); {
 		case fate < 20: // the answer is lost, and the lent tokens with it
@@ -87,11 +87,11 @@
 
 func TestLoanTakesInOneAnswer(t *testing.T) {
 	is := is.New(t)
-	pool := &Purse{Tokens: 5}
-	first := pool.LendTo()
+	pool := &TokenPool{Tokens: 5}
+	first := pool.LendTracked()
 	is.Equal(first.Tokens, 3)
 	first.Return(2)
-	second := pool.LendTo()
+	second := pool.LendTracked()
 	is.Equal(second.Tokens, 2)
 	first.Return(3) // a duplicate answer, while the second attempt holds its tokens
 	is.Equal(pool.Tokens, 2)
@@ -101,7 +101,7 @@
 
 func TestReturnNeverExceedsWhatWasLent(t *testing.T) {
 	is := is.New(t)
-	pool := &Purse{Tokens: 3}
+	pool := &TokenPool{Tokens: 3}
 	lent := pool.Lend()
 	pool.Return(lent + 5)
 	pool.Return(lent)
@@ -116,17 +116,17 @@
 	for range 10_000 {
 		now = now.Add(time.Millisecond)
 		a.Completed(now)
-		if a.TryRepeat(now) {
+		if a.TryRetry(now) {
 			retries++
 		}
 	}
 	is.True(retries >= 900 && retries <= 1000+10)
-	for a.TryRepeat(now) {
+	for a.TryRetry(now) {
 		retries++
 	}
-	is.True(!a.TryRepeat(now.Add(time.Second)))
-	is.True(a.TryRepeat(now.Add(10 * allowanceDecay))) // enough to detect that the service has recovered
-	is.True(!a.TryRepeat(now.Add(10 * allowanceDecay)))
+	is.True(!a.TryRetry(now.Add(time.Second)))
+	is.True(a.TryRetry(now.Add(10 * allowanceDecay))) // enough to detect that the service has recovered
+	is.True(!a.TryRetry(now.Add(10 * allowanceDecay)))
 }
 
 func TestBackoffGrowsWithinItsBounds(t *testing.T) {
@@ -148,6 +148,6 @@
 func TestWorthwhile(t *testing.T) {
 	is := is.New(t)
 	deadline := testStart.Add(100 * time.Millisecond)
-	is.True(Worthwhile(testStart, deadline, 40*time.Millisecond, 60*time.Millisecond))
-	is.True(!Worthwhile(testStart, deadline, 41*time.Millisecond, 60*time.Millisecond))
+	is.True(FitsDeadline(testStart, deadline, 40*time.Millisecond, 60*time.Millisecond))
+	is.True(!FitsDeadline(testStart, deadline, 41*time.Millisecond, 60*time.Millisecond))
 }
--- a/internal/budget/window.go
+++ b/internal/budget/window.go
@@ -11,21 +11,21 @@
 		Share float64
 		Slack float64
 		Span  time.Duration
-		// RunShare is the part of Share for retries of calls that may have run. Each
+		// MayHaveRunShare is the part of Share for retries of calls that may have run. Each
 		// of these retries makes its own calls again, which are counted where they
 		// arrive.
-		RunShare float64
-		// InnerPart is the part of the budget that is available for retries of calls
+		MayHaveRunShare float64
+		// InnerFraction is the part of the budget that is available for retries of calls
 		// made by targets if requests of callers need the rest. The retry of a
 		// request of a caller completes the request, whereas a call made by a target
 		// is one of several that must all succeed.
-		InnerPart float64
+		InnerFraction float64
 	}
 
-	// Repeat describes a retry of a call to a target of the service.
-	Repeat struct {
-		// Ran is set if an earlier attempt may have run.
-		Ran bool
+	// Retry describes a retry of a call to a target of the service.
+	Retry struct {
+		// MayHaveRun is set if an earlier attempt may have run.
+		MayHaveRun bool
 		// Inner is set if the call is made by a target rather than by a caller.
 		Inner bool
 	}
@@ -80,31 +80,31 @@
 }
 
 // Allows reports whether a retry may reach the target now.
-func (w *Window) Allows(now time.Time, retry Repeat) bool {
+func (w *Window) Allows(now time.Time, retry Retry) bool {
 	w.slot(now)
 	received, spent := w.received(), w.spent()
 	limit := w.rule.Share*received.requests + w.rule.Slack
 	switch {
 	case spent.retries+1 > limit:
 		return false
-	case retry.Ran && spent.runs+1 > w.rule.RunShare*received.requests+w.rule.Slack:
+	case retry.MayHaveRun && spent.runs+1 > w.rule.MayHaveRunShare*received.requests+w.rule.Slack:
 		return false
 	case retry.Inner:
-		reserved := min((1-w.rule.InnerPart)*limit, received.direct)
+		reserved := min((1-w.rule.InnerFraction)*limit, received.direct)
 		return spent.inner+1 <= limit-reserved
 	}
 	return true
 }
 
-// TryRepeat counts a retry and returns true, or returns false if the budget does not allow the
+// TryRetry counts a retry and returns true, or returns false if the budget does not allow the
 // retry.
-func (w *Window) TryRepeat(now time.Time, retry Repeat) bool {
+func (w *Window) TryRetry(now time.Time, retry Retry) bool {
 	if !w.Allows(now, retry) {
 		return false
 	}
 	slot := w.slot(now)
 	slot.retries++
-	if retry.Ran {
+	if retry.MayHaveRun {
 		slot.runs++
 	}
 	if retry.Inner {
--- a/internal/budget/window_test.go
+++ b/internal/budget/window_test.go
@@ -23,7 +23,7 @@
 		nodes := rapid.IntRange(1, 20).Draw(t, "nodes")
 		windows := make([]*budget.Window, nodes)
 		for i := range windows {
-			windows[i] = budget.NewWindow(budget.Rule{Share: ownPart * share, Slack: slack / float64(nodes), Span: windowSpan, RunShare: share / 2, InnerPart: 0.4})
+			windows[i] = budget.NewWindow(budget.Rule{Share: ownPart * share, Slack: slack / float64(nodes), Span: windowSpan, MayHaveRunShare: share / 2, InnerFraction: 0.4})
 		}
 		const step = 250 * time.Millisecond
 		const steps = 160
@@ -36,7 +36,7 @@
 					window.Request(now, node%2 == 0)
 					requests[i]++
 				}
-				for window.TryRepeat(now, budget.Repeat{Ran: rapid.Bool().Draw(t, "ran"), Inner: rapid.Bool().Draw(t, "inner")}) {
+				for window.TryRetry(now, budget.Retry{MayHaveRun: rapid.Bool().Draw(t, "ran"), Inner: rapid.Bool().Draw(t, "inner")}) {
 					retries[i]++
 				}
 			}
@@ -62,30 +62,30 @@
 
 func TestOnlyTheLastSpanCounts(t *testing.T) {
 	is := is.New(t)
-	window := budget.NewWindow(budget.Rule{Share: 0.2, Span: windowSpan, RunShare: 0.02})
+	window := budget.NewWindow(budget.Rule{Share: 0.2, Span: windowSpan, MayHaveRunShare: 0.02})
 	for range 1000 {
 		window.Request(windowStart, true)
 	}
 	retries := 0
-	for window.TryRepeat(windowStart.Add(9*time.Second), budget.Repeat{}) {
+	for window.TryRetry(windowStart.Add(9*time.Second), budget.Retry{}) {
 		retries++
 	}
 	is.Equal(retries, 200)
-	is.True(!window.TryRepeat(windowStart.Add(11*time.Second), budget.Repeat{}))
+	is.True(!window.TryRetry(windowStart.Add(11*time.Second), budget.Retry{}))
 }
 
 func TestCallsThatMayHaveRunAreRepeatedLess(t *testing.T) {
 	is := is.New(t)
-	window := budget.NewWindow(budget.Rule{Share: 0.2, Span: windowSpan, RunShare: 0.02})
+	window := budget.NewWindow(budget.Rule{Share: 0.2, Span: windowSpan, MayHaveRunShare: 0.02})
 	for range 1000 {
 		window.Request(windowStart, true)
 	}
 	runs := 0
-	for window.TryRepeat(windowStart, budget.Repeat{Ran: true}) {
+	for window.TryRetry(windowStart, budget.Retry{MayHaveRun: true}) {
 		runs++
 	}
 	is.Equal(runs, 20)
-	is.True(window.TryRepeat(windowStart, budget.Repeat{}))
+	is.True(window.TryRetry(windowStart, budget.Retry{}))
 }
 
 // TestRequestsOfCallersKeepTheirRepeats checks that calls made by targets cannot use up the
@@ -93,7 +93,7 @@
 // other targets per second, five of which must succeed together, and sheds half of them.
 func TestRequestsOfCallersKeepTheirRepeats(t *testing.T) {
 	is := is.New(t)
-	window := budget.NewWindow(budget.Rule{Share: 0.14, Slack: 24, Span: windowSpan, InnerPart: 0.4})
+	window := budget.NewWindow(budget.Rule{Share: 0.14, Slack: 24, Span: windowSpan, InnerFraction: 0.4})
 	now := windowStart
 	for range 10 * 850 {
 		now = now.Add(windowSpan / 8500)
@@ -107,7 +107,7 @@
 		if i%2 == 0 {
 			continue
 		}
-		taken := window.TryRepeat(now, budget.Repeat{Inner: !isDirect})
+		taken := window.TryRetry(now, budget.Retry{Inner: !isDirect})
 		switch {
 		case isDirect:
 			asked++
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -74,7 +74,7 @@
 // concurrently.
 type Tokens struct {
 	mu   sync.Mutex
-	pool budget.Purse
+	pool budget.TokenPool
 }
 
 // Serving is an attempt that the target beside this node is currently serving. Calls that
@@ -98,7 +98,7 @@
 
 // NewTokens returns n retry tokens.
 func NewTokens(n int) *Tokens {
-	return &Tokens{pool: budget.Purse{Tokens: n}}
+	return &Tokens{pool: budget.TokenPool{Tokens: n}}
 }
 
 // Spend takes one token for a retry and reports whether there was one.
@@ -116,7 +116,7 @@
 	if !spendable {
 		return &budget.Loan{}
 	}
-	return t.pool.LendTo()
+	return t.pool.LendTracked()
 }
 
 // Return puts back n tokens of a loan, as reported by the answer to the attempt. Only the
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -334,7 +334,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := s.service(c.Kind.Service)
-	if !budget.Worthwhile(now, c.Deadline, delay, state.latency) {
+	if !budget.FitsDeadline(now, c.Deadline, delay, state.latency) {
 		s.Metrics.RetriesDenied.WithLabelValues(c.Kind.Service, "deadline").Inc()
 		return false
 	}
@@ -372,11 +372,11 @@
 	defer s.mu.Unlock()
 	state := s.service(c.Kind.Service)
 	state.setRetryShare(s.RetryShare(c.Kind.Service))
-	if !budget.Worthwhile(now, c.Deadline, delay, state.latency) {
+	if !budget.FitsDeadline(now, c.Deadline, delay, state.latency) {
 		s.Metrics.RetriesDenied.WithLabelValues(c.Kind.Service, "deadline").Inc()
 		return false
 	}
-	if code != result.Unreachable && !state.allowance.TryRepeat(now) {
+	if code != result.Unreachable && !state.allowance.TryRetry(now) {
 		s.Metrics.RetriesDenied.WithLabelValues(c.Kind.Service, "allowance").Inc()
 		return false
 	}
--- a/internal/entry/silent_test.go
+++ b/internal/entry/silent_test.go
@@ -170,7 +170,7 @@
 		Metrics:     metric.New(),
 		Log:         hclog.NewNullLogger(),
 		Gate:        admit.NewGate(admit.Settings{Slots: 10, Queue: 10, QueueWait: time.Second}),
-		Book:        fate.New[*relaypb.CarryResponse](fate.Settings{Keep: time.Minute, MaxBytes: 1 << 20}),
+		Book:        fate.New[*relaypb.CarryResponse](fate.Settings{Retention: time.Minute, MaxBytes: 1 << 20}),
 		Ledger:      once.NewLedger[*relaypb.CarryResponse](once.Node{}, once.Rules{}, 1<<20),
 		Kind:        func(string) *schema.Kind { return kind },
 		Limits:      schema.DefaultLimits,
--- a/internal/fate/bench_test.go
+++ b/internal/fate/bench_test.go
@@ -22,7 +22,7 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				book := fate.New[*relaypb.CarryResponse](fate.Settings{Keep: 90 * time.Second, MaxBytes: 1 << 40})
+				book := fate.New[*relaypb.CarryResponse](fate.Settings{Retention: 90 * time.Second, MaxBytes: 1 << 40})
 				now := time.Now()
 				for range held {
 					id := uuid.Must(uuid.NewV7()).String()
@@ -52,7 +52,7 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				book := fate.New[*relaypb.CarryResponse](fate.Settings{Keep: 90 * time.Second, KeepAnswers: time.Second, MaxBytes: 1 << 40})
+				book := fate.New[*relaypb.CarryResponse](fate.Settings{Retention: 90 * time.Second, AnswerRetention: time.Second, MaxBytes: 1 << 40})
 				now := time.Now()
 				for i := range held {
 					now = now.Add(100 * time.Microsecond)
--- a/internal/fate/classify.go
+++ b/internal/fate/classify.go
@@ -16,24 +16,24 @@
 		// ShedStatus is the declared status with which the target reports that it shed
 		// the call without running it; 0 stands for 503.
 		ShedStatus int
-		// Marks is set if targets mark the responses of calls that they did not run.
+		// MarksNotRun is set if targets mark the responses of calls that they did not run.
 		// Only the mark then decides whether the call was shed, not the status.
-		Marks bool
+		MarksNotRun bool
 		// NotRun is set if the response of this call has the mark.
 		NotRun bool
-		// Moved is set when the call reached a process other than the addressed one, which
+		// OtherIncarnation is set when the call reached a process other than the addressed one, which
 		// rejected it.
-		Moved bool
-		// Foreign is set when the answer belongs to another call.
-		Foreign bool
-		// BodyWhole is set when the body of the answer was received up to its declared end.
-		BodyWhole bool
+		OtherIncarnation bool
+		// OtherCall is set when the answer belongs to another call.
+		OtherCall bool
+		// BodyComplete is set when the body of the answer was received up to its declared end.
+		BodyComplete bool
 		// TooLarge is set when the answer exceeds the declared size limit.
 		TooLarge  bool
 		TimedOut  bool
 		Cancelled bool
-		// ChildrenRan is set when a call made by the target ran or may have run.
-		ChildrenRan bool
+		// ChildCallsRan is set when a call made by the target ran or may have run.
+		ChildCallsRan bool
 	}
 
 	// LostAnswer describes an attempt whose answer is missing, as observed by the sending node.
@@ -74,22 +74,22 @@
 // Classify returns the result code of an attempt at the node beside the target. It returns
 // a code of the family NotRun only if neither the call nor any call made by the target ran.
 func Classify(f Facts) result.Code {
-	if !f.Sent && !f.ChildrenRan {
+	if !f.Sent && !f.ChildCallsRan {
 		return notRun(f.TimedOut, f.Cancelled, result.Unreachable)
 	}
-	if f.Status == 0 || f.Foreign {
+	if f.Status == 0 || f.OtherCall {
 		return mayHaveRun(f.TimedOut, f.Cancelled, result.Lost)
 	}
-	if f.Moved {
+	if f.OtherIncarnation {
 		return result.OtherIncarnation
 	}
 	if f.shed() {
-		return classifyShed(f.ChildrenRan)
+		return classifyShed(f.ChildCallsRan)
 	}
 	if f.TooLarge {
 		return result.AnswerTooLarge
 	}
-	if !f.BodyWhole {
+	if !f.BodyComplete {
 		return mayHaveRun(f.TimedOut, f.Cancelled, result.AnswerTruncated)
 	}
 	if f.Status < http.StatusOK || f.Status >= http.StatusInternalServerError {
@@ -122,7 +122,7 @@
 }
 
 func (f Facts) shed() bool {
-	if f.Marks {
+	if f.MarksNotRun {
 		return f.NotRun
 	}
 	return f.Status == shedStatus(f.ShedStatus)
--- a/internal/fate/example_test.go
+++ b/internal/fate/example_test.go
@@ -8,11 +8,11 @@
 )
 
 // A sender queries an attempt that has not arrived. The attempt is rejected from then on.
-func ExampleBook_Ask() {
-	book := fate.New[string](fate.Settings{Keep: time.Minute, MaxBytes: 1 << 20})
+func ExampleStore_Query() {
+	book := fate.New[string](fate.Settings{Retention: time.Minute, MaxBytes: 1 << 20})
 	now := time.UnixMilli(1_700_000_000_000)
 	attempt := "018bcfe5-6800-7c6b-904d-833943209b3c"
-	state, _ := book.Ask(now, attempt)
+	state, _ := book.Query(now, attempt)
 	fmt.Println(state == fate.NeverSeen)
 	verdict, _ := book.Begin(now.Add(time.Second), attempt)
 	fmt.Println(verdict.Code())
--- a/internal/fate/fate.go
+++ b/internal/fate/fate.go
@@ -23,12 +23,12 @@
 
 	// Settings configure the retention, the memory bound and the clock tolerance.
 	Settings struct {
-		// Keep is the retention period of ended attempts and tombstones. It must
+		// Retention is the retention period of ended attempts and tombstones. It must
 		// exceed the longest declared deadline by twice Margin.
-		Keep time.Duration
-		// KeepAnswers is the retention period of the answers of ended attempts. With
+		Retention time.Duration
+		// AnswerRetention is the retention period of the answers of ended attempts. With
 		// 0, an answer is kept as long as its attempt.
-		KeepAnswers time.Duration
+		AnswerRetention time.Duration
 		// MaxBytes bounds the memory of all records and answers.
 		MaxBytes int64
 		// Margin is the largest difference between the clocks of two hosts; 0 stands
@@ -48,9 +48,9 @@
 		Dropped int64
 	}
 
-	// Book records attempts and their answers of type A. It is not safe for
+	// Store records attempts and their answers of type A. It is not safe for
 	// concurrent use.
-	Book[A any] struct {
+	Store[A any] struct {
 		settings Settings
 		// entries holds the attempts that are running or whose answer is kept.
 		// bareVerdicts holds the verdict alone of all other attempts, by the second of
@@ -132,15 +132,15 @@
 )
 
 // New returns an empty set of attempt records.
-func New[A any](s Settings) *Book[A] {
+func New[A any](s Settings) *Store[A] {
 	if s.Margin == 0 {
 		s.Margin = DefaultMargin
 	}
-	return &Book[A]{settings: s, entries: map[uuid.UUID]*entry[A]{}, bareVerdicts: map[int64]map[shortID]Verdict{}}
+	return &Store[A]{settings: s, entries: map[uuid.UUID]*entry[A]{}, bareVerdicts: map[int64]map[shortID]Verdict{}}
 }
 
 // Begin records a fresh attempt as running. The returned answer is set for Done only.
-func (b *Book[A]) Begin(now time.Time, attempt string) (Verdict, A) {
+func (b *Store[A]) Begin(now time.Time, attempt string) (Verdict, A) {
 	var none A
 	now = b.advance(now)
 	id, minted, ok := b.parse(now, attempt)
@@ -170,7 +170,7 @@
 
 // End records the answer, of the given size in bytes, of a running attempt. A second call
 // for the same attempt has no effect.
-func (b *Book[A]) End(now time.Time, attempt string, answer A, size int) {
+func (b *Store[A]) End(now time.Time, attempt string, answer A, size int) {
 	now = b.advance(now)
 	id, _, _ := b.parse(now, attempt)
 	e, ok := b.entries[id]
@@ -189,9 +189,9 @@
 	b.answerBytes += e.size
 }
 
-// Ask returns the status of an attempt. When it returns NeverSeen, the attempt is
+// Query returns the status of an attempt. When it returns NeverSeen, the attempt is
 // rejected if it arrives later.
-func (b *Book[A]) Ask(now time.Time, attempt string) (State, A) {
+func (b *Store[A]) Query(now time.Time, attempt string) (State, A) {
 	var none A
 	now = b.advance(now)
 	id, minted, ok := b.parse(now, attempt)
@@ -220,15 +220,15 @@
 }
 
 // Forget drops answers, attempts and tombstones that are past their retention periods.
-func (b *Book[A]) Forget(now time.Time) {
+func (b *Store[A]) Forget(now time.Time) {
 	now = b.advance(now)
-	if keep := b.settings.KeepAnswers; keep > 0 {
+	if keep := b.settings.AnswerRetention; keep > 0 {
 		for len(b.answered) > 0 && b.answered[0].past(now, keep) {
 			b.dropOldestAnswer()
 		}
 	}
 	past := 0
-	for past < len(b.answered) && b.answered[past].past(now, b.settings.Keep) {
+	for past < len(b.answered) && b.answered[past].past(now, b.settings.Retention) {
 		b.removeEntry(b.answered[past].id)
 		past++
 	}
@@ -248,7 +248,7 @@
 }
 
 // Stats returns the current gauges and counters.
-func (b *Book[A]) Stats() Stats {
+func (b *Store[A]) Stats() Stats {
 	stats := b.stats
 	stats.Entries = len(b.entries) + b.verdictCount()
 	stats.Bytes = b.recordBytes + b.answerBytes
@@ -256,11 +256,11 @@
 }
 
 // MaxBytes returns the memory bound.
-func (b *Book[A]) MaxBytes() int64 {
+func (b *Store[A]) MaxBytes() int64 {
 	return b.settings.MaxBytes
 }
 
-func (b *Book[A]) advance(now time.Time) time.Time {
+func (b *Store[A]) advance(now time.Time) time.Time {
 	if now.After(b.latest) {
 		b.latest = now
 	}
@@ -268,7 +268,7 @@
 }
 
 // recorded returns the recorded verdict and answer of an attempt, and whether there are any.
-func (b *Book[A]) recorded(id uuid.UUID) (Verdict, A, bool) {
+func (b *Store[A]) recorded(id uuid.UUID) (Verdict, A, bool) {
 	var none A
 	if e, ok := b.entries[id]; ok {
 		return e.verdict, e.answer, true
@@ -278,7 +278,7 @@
 }
 
 // recordVerdict records a verdict without an entry.
-func (b *Book[A]) recordVerdict(id uuid.UUID, verdict Verdict) {
+func (b *Store[A]) recordVerdict(id uuid.UUID, verdict Verdict) {
 	second := mintSecond(id)
 	if b.bareVerdicts[second] == nil {
 		b.bareVerdicts[second] = map[shortID]Verdict{}
@@ -287,7 +287,7 @@
 	b.recordBytes += verdictBytes
 }
 
-func (b *Book[A]) verdictCount() int {
+func (b *Store[A]) verdictCount() int {
 	count := 0
 	for _, verdicts := range b.bareVerdicts {
 		count += len(verdicts)
@@ -306,7 +306,7 @@
 
 // parse returns an attempt id and its mint time. It returns false if the id is not a
 // canonical UUIDv7, or if its mint time is in the future by more than the margin.
-func (b *Book[A]) parse(now time.Time, attempt string) (uuid.UUID, time.Time, bool) {
+func (b *Store[A]) parse(now time.Time, attempt string) (uuid.UUID, time.Time, bool) {
 	id, err := uuid.Parse(attempt)
 	if err != nil || id.Version() != 7 || !canonical(id, attempt) {
 		return uuid.Nil, time.Time{}, false
@@ -328,20 +328,20 @@
 // For example, with a retention period of 60 s and a margin of 1 s, an attempt is minted at
 // 100 s by a clock that is 1 s ahead, and ends at 99 s by the local clock. Its record may be
 // dropped after 159 s, so the id expires at 159 s.
-func (b *Book[A]) expired(now, minted time.Time) bool {
-	return now.Sub(minted) >= b.settings.Keep-b.settings.Margin
+func (b *Store[A]) expired(now, minted time.Time) bool {
+	return now.Sub(minted) >= b.settings.Retention-b.settings.Margin
 }
 
 // refuseThrough replaces a record for which there is no memory: from now on, every
 // unrecorded attempt minted up to the given time is rejected. This also rejects other attempts,
 // but only attempts minted up to a time at which the memory is full anyway.
-func (b *Book[A]) refuseThrough(minted time.Time) {
+func (b *Store[A]) refuseThrough(minted time.Time) {
 	b.refusedThroughMS = max(b.refusedThroughMS, minted.UnixMilli())
 }
 
 // makeRoom drops the oldest answers until need more bytes fit into the memory bound, and
 // reports whether they fit.
-func (b *Book[A]) makeRoom(need int64) bool {
+func (b *Store[A]) makeRoom(need int64) bool {
 	stripped := b.recordBytes - int64(len(b.answered))*(entryBytes-verdictBytes)
 	if stripped+need > b.settings.MaxBytes {
 		return false
@@ -352,7 +352,7 @@
 	return true
 }
 
-func (b *Book[A]) dropOldestAnswer() {
+func (b *Store[A]) dropOldestAnswer() {
 	oldest := b.answered[0]
 	b.answered = b.answered[1:]
 	b.answerBytes -= b.entries[oldest.id].size
@@ -360,21 +360,21 @@
 }
 
 // reduceToVerdict replaces the entry of an ended attempt by the verdict Dropped.
-func (b *Book[A]) reduceToVerdict(id uuid.UUID) {
+func (b *Store[A]) reduceToVerdict(id uuid.UUID) {
 	delete(b.entries, id)
 	b.recordBytes -= entryBytes
 	b.recordVerdict(id, Dropped)
 	b.stats.Dropped++
 }
 
-func (b *Book[A]) removeEntry(id uuid.UUID) {
+func (b *Store[A]) removeEntry(id uuid.UUID) {
 	b.answerBytes -= b.entries[id].size
 	b.recordBytes -= entryBytes
 	delete(b.entries, id)
 }
 
 // removeVerdicts drops the verdicts of one second, whose attempts have all expired.
-func (b *Book[A]) removeVerdicts(second int64, verdicts map[shortID]Verdict) {
+func (b *Store[A]) removeVerdicts(second int64, verdicts map[shortID]Verdict) {
 	for _, verdict := range verdicts {
 		if verdict == Tombstoned {
 			b.stats.Tombstones--
--- a/internal/fate/fate_test.go
+++ b/internal/fate/fate_test.go
@@ -15,7 +15,7 @@
 
 const startMS = 1_700_000_000_000
 
-var testSettings = Settings{Keep: 10 * time.Second, MaxBytes: 6 * entryBytes, Margin: time.Second}
+var testSettings = Settings{Retention: 10 * time.Second, MaxBytes: 6 * entryBytes, Margin: time.Second}
 
 // attemptID returns an id with the given mint time, and random bits derived from the number.
 func attemptID(mintedMS int64, number int) string {
@@ -81,7 +81,7 @@
 			},
 			"ask": func(t *rapid.T) {
 				attempt := pick(t)
-				state, answer := b.Ask(time.UnixMilli(nowMS), attempt)
+				state, answer := b.Query(time.UnixMilli(nowMS), attempt)
 				notRun[attempt] = notRun[attempt] || state == NeverSeen
 				check(state, attempt, answer)
 			},
@@ -113,7 +113,7 @@
 				verdict, answer := b.Begin(at(nowMS), attempt)
 				return fmt.Sprintln(names[verdict], verdict.Code(), answer)
 			case "ask":
-				state, answer := b.Ask(at(nowMS), attempt)
+				state, answer := b.Query(at(nowMS), attempt)
 				return fmt.Sprintln(names[state], answer)
 			case "end":
 				var size int
@@ -141,8 +141,8 @@
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			has := d.HasArg
 			if d.Cmd == "classify" {
-				f := Facts{Sent: has("sent"), BodyWhole: has("whole"), TooLarge: has("large")}
-				f.TimedOut, f.Cancelled, f.ChildrenRan = has("timed_out"), has("cancelled"), has("children")
+				f := Facts{Sent: has("sent"), BodyComplete: has("whole"), TooLarge: has("large")}
+				f.TimedOut, f.Cancelled, f.ChildCallsRan = has("timed_out"), has("cancelled"), has("children")
 				d.MaybeScanArgs(t, "status", &f.Status)
 				d.MaybeScanArgs(t, "shed", &f.ShedStatus)
 				return fmt.Sprintln(Classify(f))
@@ -165,15 +165,15 @@
 func TestNotRunNeedsProof(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
-		f := Facts{Sent: flag("sent"), BodyWhole: flag("whole"), TooLarge: flag("large")}
-		f.TimedOut, f.Cancelled, f.ChildrenRan = flag("timed out"), flag("cancelled"), flag("children")
+		f := Facts{Sent: flag("sent"), BodyComplete: flag("whole"), TooLarge: flag("large")}
+		f.TimedOut, f.Cancelled, f.ChildCallsRan = flag("timed out"), flag("cancelled"), flag("children")
 		f.Status = rapid.SampledFrom([]int{0, 101, 200, 302, 404, 429, 500, 503, 504, 700}).Draw(t, "status")
-		proven := !f.ChildrenRan && (!f.Sent || f.Status == 503)
+		proven := !f.ChildCallsRan && (!f.Sent || f.Status == 503)
 		code := Classify(f)
 		if (code.Family() == result.NotRun) != proven {
 			t.Fatalf("%+v is %v", f, code)
 		}
-		if code == result.OK && (!f.BodyWhole || f.TooLarge) {
+		if code == result.OK && (!f.BodyComplete || f.TooLarge) {
 			t.Fatalf("%+v is %v", f, code)
 		}
 	})
--- a/internal/local/attempt.go
+++ b/internal/local/attempt.go
@@ -284,7 +284,7 @@
 	s.mu.Unlock()
 	facts := reply.Facts
 	facts.ShedStatus = s.settings.ShedStatus()
-	facts.ChildrenRan = a.serving.ChildrenRan()
+	facts.ChildCallsRan = a.serving.ChildrenRan()
 	code = fate.Classify(facts)
 	downstream := maybeDownstream(code) && a.serving.ChildrenFailed()
 	s.mu.Lock()
@@ -296,7 +296,7 @@
 		TokensLeft: uint32(a.serving.Tokens.Left()),
 		Below:      downstream,
 	}
-	if reply.Facts.BodyWhole {
+	if reply.Facts.BodyComplete {
 		answer.Status = uint32(reply.Status)
 		answer.Headers = reply.Headers
 		answer.Body = reply.Body
@@ -384,7 +384,7 @@
 	case code == result.OK:
 		ledger.Finish(now, a.key, answer, size)
 	default:
-		ledger.Lost(now, a.key)
+		ledger.MarkLost(now, a.key)
 	}
 }
 
--- a/internal/local/garble_test.go
+++ b/internal/local/garble_test.go
@@ -150,7 +150,7 @@
 						_, _ = io.WriteString(conn, answer[:cut])
 					}
 				})
-				if reply := sendRequest(s.client(), "a"); reply.Facts.BodyWhole || classify(reply).Family() != result.Unknown {
+				if reply := sendRequest(s.client(), "a"); reply.Facts.BodyComplete || classify(reply).Family() != result.Unknown {
 					t.Errorf("cut after %d bytes, %q: %s", cut, answer[max(0, cut-20):cut], classify(reply))
 				}
 			}
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -34,7 +34,7 @@
 	Metrics     *metric.Set
 	Log         hclog.Logger
 	Gate        *admit.Gate
-	Book        *fate.Book[*relaypb.CarryResponse]
+	Book        *fate.Store[*relaypb.CarryResponse]
 	Ledger      *once.Ledger[*relaypb.CarryResponse]
 	// LedgerBytes is the upper bound on the memory of the ledger in bytes, whatever is
 	// declared.
@@ -205,7 +205,7 @@
 		return &relaypb.FateResponse{State: relaypb.FateState_FATE_STATE_OTHER_INCARNATION}
 	}
 	s.mu.Lock()
-	state, recorded := s.settings.Book.Ask(s.settings.Clock.Now(), request.AttemptId)
+	state, recorded := s.settings.Book.Query(s.settings.Clock.Now(), request.AttemptId)
 	running := s.attempts[request.AttemptId]
 	s.mu.Unlock()
 	switch state {
--- a/internal/local/local_test.go
+++ b/internal/local/local_test.go
@@ -193,7 +193,7 @@
 	if !changed || !ledger.Promise(now, plan) {
 		t.Fatal("no plan")
 	}
-	ledger.Learn(plan)
+	ledger.ApplyPlan(plan)
 	return ledger
 }
 
@@ -225,7 +225,7 @@
 		Metrics:     metric.New(),
 		Log:         hclog.NewNullLogger(),
 		Gate:        admit.NewGate(admit.Settings{Slots: 4, Queue: 4, QueueWait: time.Second}),
-		Book:        fate.New[*relaypb.CarryResponse](fate.Settings{Keep: time.Minute, MaxBytes: 1 << 20}),
+		Book:        fate.New[*relaypb.CarryResponse](fate.Settings{Retention: time.Minute, MaxBytes: 1 << 20}),
 		Ledger:      once.NewLedger[*relaypb.CarryResponse](once.Node{}, once.Rules{}, 1<<20),
 		Kind:        func(string) *schema.Kind { return kind },
 		Limits:      func() schema.Limits { return limits },
--- a/internal/local/repeat.go
+++ b/internal/local/repeat.go
@@ -37,20 +37,20 @@
 // is the last step before the target is called, because only retries that reach the
 // target count.
 func (a *attempt) takeRetry() bool {
-	return a.withinRetryBudget((*budget.Window).TryRepeat)
+	return a.withinRetryBudget((*budget.Window).TryRetry)
 }
 
 // withinRetryBudget calls check for an attempt that is a retry, and returns true for any
 // other attempt.
-func (a *attempt) withinRetryBudget(check func(w *budget.Window, now time.Time, repeat budget.Repeat) bool) bool {
+func (a *attempt) withinRetryBudget(check func(w *budget.Window, now time.Time, repeat budget.Retry) bool) bool {
 	s := a.server
 	if s.retryWindow == nil || a.request.Earlier < relaypb.Earlier_EARLIER_SHED {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return check(s.retryWindow, s.settings.Clock.Now(), budget.Repeat{
-		Ran:   a.request.Earlier == relaypb.Earlier_EARLIER_RAN,
-		Inner: s.origins.isInternal(a.request.Kind),
+	return check(s.retryWindow, s.settings.Clock.Now(), budget.Retry{
+		MayHaveRun: a.request.Earlier == relaypb.Earlier_EARLIER_RAN,
+		Inner:      s.origins.isInternal(a.request.Kind),
 	})
 }
--- a/internal/local/repeat_test.go
+++ b/internal/local/repeat_test.go
@@ -26,7 +26,7 @@
 	t.Cleanup(target.Close)
 	kind := &schema.Kind{Name: "k", Service: "s", Method: http.MethodGet, Repeat: schema.Safe}
 	s := newServer(strings.TrimPrefix(target.URL, "http://"), kind, schema.DefaultLimits())
-	s.retryWindow = budget.NewWindow(budget.Rule{Share: 0.2, RunShare: 0.1, InnerPart: 1, Span: 10 * time.Second})
+	s.retryWindow = budget.NewWindow(budget.Rule{Share: 0.2, MayHaveRunShare: 0.1, InnerFraction: 1, Span: 10 * time.Second})
 	carry := func(earlier relaypb.Earlier, from string) result.Code {
 		attempt := newAttempt(kind)
 		attempt.Earlier = earlier
--- a/internal/local/target.go
+++ b/internal/local/target.go
@@ -170,7 +170,7 @@
 	if t.Wire.Judge != nil {
 		t.classifyHead(attempt, call, &reply.Facts)
 	}
-	if reply.Facts.Foreign {
+	if reply.Facts.OtherCall {
 		call.Discard()
 		reply.Detail = "the answer bears the id of another request"
 		return reply
@@ -206,22 +206,22 @@
 		t.noteInterruption(ctx, reply)
 		return
 	}
-	reply.Facts.BodyWhole = true
+	reply.Facts.BodyComplete = true
 	reply.Body = body
 }
 
 // classifyHead records in the facts what the head of an answer says about the call.
 func (t *Target) classifyHead(attempt *relaypb.CarryRequest, call *http1.Call, facts *fate.Facts) {
-	facts.Marks = true
+	facts.MarksNotRun = true
 	switch t.Wire.Judge(attempt.RequestId, call.Answer.Status, call.Answer.Fields) {
 	case NotRun:
 		facts.NotRun = true
 		call.Refused(t.Wire.namesRequest(attempt.RequestId, call.Answer.Fields))
 	case Moved:
-		facts.Moved = true
+		facts.OtherIncarnation = true
 		call.Refused(t.Wire.namesRequest(attempt.RequestId, call.Answer.Fields))
 	case Foreign:
-		facts.Foreign = true
+		facts.OtherCall = true
 	case Answered:
 	}
 }
@@ -249,7 +249,7 @@
 			return
 		}
 		if errors.Is(err, io.EOF) {
-			reply.Facts.BodyWhole = true
+			reply.Facts.BodyComplete = true
 			// The answer is stored for a while, so it must not retain the spare
 			// capacity of the buffer.
 			reply.Body = bytes.Clone(buffer.Bytes())
--- a/internal/local/target_test.go
+++ b/internal/local/target_test.go
@@ -32,7 +32,7 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range runs {
-		is.True(read().Facts.BodyWhole)
+		is.True(read().Facts.BodyComplete)
 	}
 	runtime.ReadMemStats(&after)
 	each := (after.TotalAlloc - before.TotalAlloc) / runs
@@ -46,7 +46,7 @@
 	target := NewTarget("127.0.0.1:1", 1, NewHeld(func() int64 { return 1 << 20 }))
 	reply := &Reply{}
 	target.readBody(context.Background(), reply, bytes.NewReader([]byte("short")), 10, 1<<20)
-	is.Equal(reply.Facts.BodyWhole, false)
+	is.Equal(reply.Facts.BodyComplete, false)
 	is.Equal(reply.Body, nil)
 	is.Equal(target.HeldBytes(), int64(0))
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -223,7 +223,7 @@
 		if holding.UntilMS <= untilMS || holding.FromMS > untilMS {
 			continue
 		}
-		if living[holding.Keeper()] {
+		if living[holding.Owner()] {
 			return untilMS, untilMS == nowMS
 		}
 		untilMS = holding.UntilMS
--- a/internal/node/doors.go
+++ b/internal/node/doors.go
@@ -41,7 +41,7 @@
 	// Announce holds the callbacks for what a target reports to its node. Each returns
 	// once the node acts on the report.
 	Announce struct {
-		Beat   func(b beat.Beat) beat.Verdict
+		Beat   func(b beat.Heartbeat) beat.Verdict
 		Depart func(id string, bornMS int64)
 	}
 )
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -27,7 +27,7 @@
 
 // attemptAndKeyRecords holds the records of attempts and of idempotency keys of one node.
 type attemptAndKeyRecords struct {
-	book   *fate.Book[*relaypb.CarryResponse]
+	book   *fate.Store[*relaypb.CarryResponse]
 	ledger *once.Ledger[*relaypb.CarryResponse]
 	now    time.Time
 }
@@ -38,8 +38,8 @@
 	self := once.Node{Name: "a", Incarnation: "a1"}
 	ledger := once.NewLedger[*relaypb.CarryResponse](self, rules, memoryBytes/recordMemoryDivisor)
 	plan, _ := once.Next(now.Add(-10*time.Minute), once.Plan{}, self, nil, rules)
-	ledger.Learn(plan)
-	book := fate.New[*relaypb.CarryResponse](fate.Settings{Keep: attemptRetention, MaxBytes: memoryBytes / recordMemoryDivisor, Margin: schema.MaxClockMargin})
+	ledger.ApplyPlan(plan)
+	book := fate.New[*relaypb.CarryResponse](fate.Settings{Retention: attemptRetention, MaxBytes: memoryBytes / recordMemoryDivisor, Margin: schema.MaxClockMargin})
 	return &attemptAndKeyRecords{book: book, ledger: ledger, now: now}
 }
 
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -70,7 +70,7 @@
 	}
 	n.plans.put(service, plan)
 	if service == n.settings.Service {
-		n.local.Ledger(func(ledger *once.Ledger[*relaypb.CarryResponse]) { ledger.Learn(plan) })
+		n.local.Ledger(func(ledger *once.Ledger[*relaypb.CarryResponse]) { ledger.ApplyPlan(plan) })
 	}
 }
 
@@ -191,7 +191,7 @@
 	if code != 0 {
 		return "", code
 	}
-	return holding.Keeper(), result.OK
+	return holding.Owner(), result.OK
 }
 
 // ownerKnown reports whether the plan known locally names an owner for a key.
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -136,11 +136,11 @@
 		slack = float64(n.settings.RetrySlack) * slackShare / float64(max(beside, 1))
 	}
 	return budget.Rule{
-		Share:     n.settings.RetryShare * nodeRetryShare,
-		RunShare:  n.settings.RetryShare * mayHaveRunShare,
-		Slack:     slack,
-		Span:      n.settings.RetryWindow,
-		InnerPart: targetCallShare,
+		Share:           n.settings.RetryShare * nodeRetryShare,
+		MayHaveRunShare: n.settings.RetryShare * mayHaveRunShare,
+		Slack:           slack,
+		Span:            n.settings.RetryWindow,
+		InnerFraction:   targetCallShare,
 	}
 }
 
@@ -192,10 +192,10 @@
 // themselves, no caller sends the same request again, so only the node that sent an
 // attempt asks for its outcome, within seconds of losing the connection.
 func (n *Node) attemptRecordSettings(bytes int64) fate.Settings {
-	settings := fate.Settings{Keep: attemptRetention, MaxBytes: bytes, Margin: schema.MaxClockMargin}
+	settings := fate.Settings{Retention: attemptRetention, MaxBytes: bytes, Margin: schema.MaxClockMargin}
 	if n.targetsAnnounce() {
-		settings.Keep = announcedAttemptRetention
-		settings.KeepAnswers = answerRetention
+		settings.Retention = announcedAttemptRetention
+		settings.AnswerRetention = answerRetention
 	}
 	return settings
 }
--- a/internal/node/target.go
+++ b/internal/node/target.go
@@ -15,7 +15,7 @@
 	// applyMu serialises applying heartbeats.
 	applyMu    sync.Mutex
 	mu         sync.Mutex
-	heartbeats beat.Book
+	heartbeats beat.Tracker
 }
 
 // departureGrace is how long a target that has announced its departure still gets calls:
@@ -29,21 +29,21 @@
 
 // heartbeat processes a heartbeat. Once it returns, the admission gate acts on the
 // heartbeat.
-func (n *Node) heartbeat(b beat.Beat) beat.Verdict {
+func (n *Node) heartbeat(b beat.Heartbeat) beat.Verdict {
 	n.targetPresence.applyMu.Lock()
 	defer n.targetPresence.applyMu.Unlock()
 	n.targetPresence.mu.Lock()
 	before, known := n.targetPresence.heartbeats.Target()
-	verdict := n.targetPresence.heartbeats.Take(n.clock.Now(), b)
+	verdict := n.targetPresence.heartbeats.Observe(n.clock.Now(), b)
 	target, _ := n.targetPresence.heartbeats.Target()
 	n.targetPresence.mu.Unlock()
 	switch verdict {
-	case beat.Late:
+	case beat.Stale:
 		n.log.Info("heartbeat_late", "target", b.ID, "state", b.State.String(), "sequence", b.Sequence,
 			"present", target.ID, "present_sequence", target.Sequence)
 	case beat.Changed:
-		n.targetChanged(target, !known || before.ID != target.ID || before.BornMS != target.BornMS)
-	case beat.Taken:
+		n.targetChanged(target, !known || before.ID != target.ID || before.StartedMS != target.StartedMS)
+	case beat.Unchanged:
 	}
 	return verdict
 }
@@ -67,7 +67,7 @@
 // nodes.
 func (n *Node) targetChanged(target beat.Target, fresh bool) {
 	n.log.Info("target_changed", "target", target.ID, "state", target.State.String(), "service", target.Service,
-		"slots", target.Slots, "sequence", target.Sequence, "born_ms", target.BornMS, "fresh", fresh)
+		"slots", target.Slots, "sequence", target.Sequence, "born_ms", target.StartedMS, "fresh", fresh)
 	if target.Service != n.settings.Service {
 		n.log.Error("target_of_other_service", "target", target.ID, "service", target.Service, "expected", n.settings.Service)
 	}
@@ -98,7 +98,7 @@
 	switch {
 	case !known, targetID != target.ID, target.Service != n.settings.Service:
 		return result.OtherIncarnation
-	case !target.Left.IsZero() && clock.Since(n.clock.Now(), target.Left) >= departureGrace:
+	case !target.LeavingSince.IsZero() && clock.Since(n.clock.Now(), target.LeavingSince) >= departureGrace:
 		return result.Leaving
 	}
 	return result.OK
--- a/internal/once/example_test.go
+++ b/internal/once/example_test.go
@@ -16,7 +16,7 @@
 	ledger := once.NewLedger[string](self, rules, 1<<20)
 	next, changed := once.Next(now, once.Plan{Service: "orders"}, self, nil, rules)
 	if changed && ledger.Promise(now, next) {
-		ledger.Learn(next) // after the write to the table has succeeded
+		ledger.ApplyPlan(next) // after the write to the table has succeeded
 	}
 
 	key := once.Mint(now)
--- a/internal/once/ledger.go
+++ b/internal/once/ledger.go
@@ -96,10 +96,10 @@
 	}
 }
 
-// Learn puts a committed plan in force if it is newer than the known plan, and then clears all
+// ApplyPlan puts a committed plan in force if it is newer than the known plan, and then clears all
 // promised cuts. The cuts were promised for a plan that was to replace the known one, so either
 // the newer plan contains them or the write of the promised plan can no longer take effect.
-func (l *Ledger[A]) Learn(p Plan) {
+func (l *Ledger[A]) ApplyPlan(p Plan) {
 	if p.Version <= l.plan.Version {
 		return
 	}
@@ -201,7 +201,7 @@
 	if !ok && l.plan.neverCovered(k) {
 		return result.KeyTooOld
 	}
-	if !ok || holding.Keeper() != l.self.Incarnation || l.closed {
+	if !ok || holding.Owner() != l.self.Incarnation || l.closed {
 		return result.OwnerGone
 	}
 	if limitMS := earliest(l.leaveMS, l.slotStates[l.plan.slotOf(k)].cutMS); limitMS != 0 && k.Minted.UnixMilli() >= limitMS {
@@ -221,7 +221,7 @@
 	oldestMS := now.Add(-l.rules.KeyAge - 2*l.rules.Margin).UnixMilli()
 	cut := int64(0)
 	for _, h := range known.Holdings {
-		if h.Keeper() != l.self.Incarnation || h.UntilMS < oldestMS {
+		if h.Owner() != l.self.Incarnation || h.UntilMS < oldestMS {
 			continue
 		}
 		i := slices.IndexFunc(next.Holdings, func(n Holding) bool { return n.FromMS == h.FromMS })
@@ -229,7 +229,7 @@
 			cut = earliest(cut, h.FromMS)
 			continue
 		}
-		if next.Holdings[i].Keeper() != l.self.Incarnation {
+		if next.Holdings[i].Owner() != l.self.Incarnation {
 			if !l.closed {
 				return 0, false
 			}
--- a/internal/once/model_test.go
+++ b/internal/once/model_test.go
@@ -114,12 +114,12 @@
 	if m.fault == ignoreLeaseEnd {
 		plan = plan.clone()
 		for _, slot := range plan.Slots {
-			if last, ok := slot.last(); ok && last.Keeper() == p.node.Incarnation {
+			if last, ok := slot.last(); ok && last.Owner() == p.node.Incarnation {
 				slot.Holdings[len(slot.Holdings)-1].UntilMS = 1 << 60
 			}
 		}
 	}
-	p.ledger.Learn(plan)
+	p.ledger.ApplyPlan(plan)
 }
 
 // control lets the process change the plan as a node would.
@@ -180,7 +180,7 @@
 	if e.Arg%5 != 0 {
 		if holding, ok := m.table.Find(k); ok {
 			for _, other := range m.procs() {
-				if other.node.Incarnation == holding.Keeper() && !other.frozen {
+				if other.node.Incarnation == holding.Owner() && !other.frozen {
 					p = other
 				}
 			}
@@ -234,7 +234,7 @@
 	p.running = p.running[1:]
 	switch arg % 5 {
 	case 0:
-		p.ledger.Lost(m.clock(p), k)
+		p.ledger.MarkLost(m.clock(p), k)
 	case 1:
 		p.ledger.Abandon(m.clock(p), k)
 		m.ran[k.Text]--
--- a/internal/once/next.go
+++ b/internal/once/next.go
@@ -86,7 +86,7 @@
 	for i := range d.plan.Slots {
 		for j := range d.plan.Slots[i].Holdings {
 			h := &d.plan.Slots[i].Holdings[j]
-			if h.Keeper() == from.Incarnation {
+			if h.Owner() == from.Incarnation {
 				h.Records = to.Incarnation
 				d.changed = true
 			}
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -169,8 +169,8 @@
 	return Holding{}, false
 }
 
-// Keeper returns the incarnation that runs the keys of the holding and has their records.
-func (h Holding) Keeper() string {
+// Owner returns the incarnation that runs the keys of the holding and has their records.
+func (h Holding) Owner() string {
 	if h.Records != "" {
 		return h.Records
 	}
@@ -194,7 +194,7 @@
 		return Holding{}, result.Forgotten
 	}
 	holding, ok := p.Find(k)
-	if ok && isLive(holding.Keeper()) {
+	if ok && isLive(holding.Owner()) {
 		return holding, 0
 	}
 	if !ok && p.neverCovered(k) {
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -50,7 +50,7 @@
 	for i, slot := range s.table.Slots {
 		fmt.Fprintf(&b, "%d:", i)
 		for _, h := range slot.Holdings {
-			fmt.Fprintf(&b, " %s[%d,%d)", h.Keeper(), h.FromMS-startMS, h.UntilMS-startMS)
+			fmt.Fprintf(&b, " %s[%d,%d)", h.Owner(), h.FromMS-startMS, h.UntilMS-startMS)
 		}
 		b.WriteString("\n")
 	}
@@ -72,7 +72,7 @@
 	s.table = next
 	for _, l := range s.ledgers {
 		if !d.HasArg("lost") {
-			l.Learn(next)
+			l.ApplyPlan(next)
 		}
 	}
 	return s.formatTable()
@@ -95,7 +95,7 @@
 		d.ScanArgs(t, "name", &name)
 		s.nodes[arg(0)] = Node{Name: name, Address: name, Incarnation: arg(0), StartedMS: startMS + s.nowMS, Translated: d.HasArg("translated")}
 		s.ledgers[arg(0)] = NewLedger[string](s.nodes[arg(0)], s.rules, s.bytes)
-		s.ledgers[arg(0)].Learn(s.table)
+		s.ledgers[arg(0)].ApplyPlan(s.table)
 	case "stop":
 		delete(s.nodes, arg(0))
 		delete(s.ledgers, arg(0))
@@ -103,7 +103,7 @@
 		next, changed := Next(s.now(), s.table, self, slices.Collect(maps.Values(s.nodes)), s.rules)
 		return s.commit(d, arg(0), next, changed)
 	case "learn":
-		l.Learn(s.table)
+		l.ApplyPlan(s.table)
 	case "handover":
 		taken := d.HasArg("open") || s.ledgers[arg(1)].Import(arg(0), l.Export())
 		next, changed := HandOver(s.now(), s.table, self, s.nodes[arg(1)], s.rules)
@@ -121,7 +121,7 @@
 	case "finish":
 		l.Finish(s.now(), s.key(arg(1)), "answer of "+arg(1), 100)
 	case "lost":
-		l.Lost(s.now(), s.key(arg(1)))
+		l.MarkLost(s.now(), s.key(arg(1)))
 	case "abandon":
 		l.Abandon(s.now(), s.key(arg(1)))
 	case "forget":
@@ -135,7 +135,7 @@
 	case "route":
 		isLive := func(incarnation string) bool { return s.ledgers[incarnation] != nil }
 		h, code := Route(s.now(), s.table, s.key(arg(0)), d.HasArg("sent"), isLive, s.rules)
-		return fmt.Sprintln(code, h.Keeper())
+		return fmt.Sprintln(code, h.Owner())
 	case "conclude":
 		former, _ := result.Parse(arg(0))
 		newest, _ := result.Parse(arg(1))
@@ -233,7 +233,7 @@
 	rules := Rules{Slots: 12, Lease: time.Hour, Margin: time.Second, KeyAge: time.Hour}
 	l := NewLedger[[]byte](self, rules, 1<<40)
 	p, _ := Next(now.Add(-10*time.Minute), Plan{}, self, nil, rules)
-	l.Learn(p)
+	l.ApplyPlan(p)
 	for i := range records {
 		age := 10 * time.Minute * time.Duration(i) / time.Duration(records)
 		l.Accept(now, Mint(now.Add(-age)), "order", 1)
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -56,9 +56,9 @@
 	l.answerBytes += r.size
 }
 
-// Lost records that the key ran or may have run, with an unknown outcome. The key never runs
+// MarkLost records that the key ran or may have run, with an unknown outcome. The key never runs
 // again.
-func (l *Ledger[A]) Lost(now time.Time, k Key) {
+func (l *Ledger[A]) MarkLost(now time.Time, k Key) {
 	l.advance(now)
 	if _, r := l.lookup(k); r != nil && r.state == running {
 		r.state = unknown
