--- a/internal/entry/silent_test.go
+++ b/internal/entry/silent_test.go
@@ -163,21 +163,21 @@
 func newServer(url string) *local.Server {
 	kind := order().Kind
 	return local.New(local.Settings{
-		Incarnation: "inc-1",
-		Service:     kind.Service,
-		Target:      local.NewTarget(strings.TrimPrefix(url, "http://"), 10, local.NewHeld(func() int64 { return 1 << 20 })),
-		Clock:       clock.System{},
-		Metrics:     metric.New(),
-		Log:         hclog.NewNullLogger(),
-		Gate:        admit.NewGate(admit.Settings{Slots: 10, Queue: 10, QueueWait: time.Second}),
-		Book:        fate.New[*relaypb.CarryResponse](fate.Settings{Retention: time.Minute, MaxBytes: 1 << 20}),
-		Ledger:      once.NewLedger[*relaypb.CarryResponse](once.Node{}, once.Rules{}, 1<<20),
-		Kind:        func(string) *schema.Kind { return kind },
-		Limits:      schema.DefaultLimits,
-		ShedStatus:  func() int { return http.StatusServiceUnavailable },
-		Levels:      func(time.Time, string) []*relaypb.Level { return nil },
-		Learn:       func(uint32) {},
-		Revision:    func() int64 { return 1 },
+		Incarnation:    "inc-1",
+		Service:        kind.Service,
+		Target:         local.NewTarget(strings.TrimPrefix(url, "http://"), 10, local.NewHeldMemory(func() int64 { return 1 << 20 })),
+		Clock:          clock.System{},
+		Metrics:        metric.New(),
+		Log:            hclog.NewNullLogger(),
+		Gate:           admit.NewGate(admit.Settings{Slots: 10, Queue: 10, QueueWait: time.Second}),
+		AttemptRecords: fate.New[*relaypb.CarryResponse](fate.Settings{Retention: time.Minute, MaxBytes: 1 << 20}),
+		Ledger:         once.NewLedger[*relaypb.CarryResponse](once.Node{}, once.Rules{}, 1<<20),
+		Kind:           func(string) *schema.Kind { return kind },
+		Limits:         schema.DefaultLimits,
+		ShedStatus:     func() int { return http.StatusServiceUnavailable },
+		Levels:         func(time.Time, string) []*relaypb.Level { return nil },
+		PublishFloor:   func(uint32) {},
+		Revision:       func() int64 { return 1 },
 	})
 }
 
--- a/internal/filter/door_test.go
+++ b/internal/filter/door_test.go
@@ -120,7 +120,7 @@
 	inward.Serving = func(handle string) (*call.Serving, bool) {
 		return &call.Serving{Deadline: now.Add(time.Second), Tokens: call.NewTokens(0)}, handle == "known"
 	}
-	inward.Allows = func(services []string, order uint32) (string, bool) {
+	inward.ChainAdmits = func(services []string, order uint32) (string, bool) {
 		return door.Allows(now, services, order)
 	}
 	request := httptest.NewRequest(tc.method, tc.path, nil)
--- a/internal/filter/filter_test.go
+++ b/internal/filter/filter_test.go
@@ -95,7 +95,7 @@
 	})
 }
 
-func newInward(t *testing.T, d *datadriven.TestData, now time.Time, parent *call.Serving) *Inward {
+func newInward(t *testing.T, d *datadriven.TestData, now time.Time, parent *call.Serving) *Inbound {
 	t.Helper()
 	set, err := schema.Parse("declarations", []byte(declarations))
 	if err != nil {
@@ -113,7 +113,7 @@
 		return nil, false
 	}
 	inward.TargetHost = "127.0.0.1"
-	inward.Allows = func(services []string, _ uint32) (string, bool) {
+	inward.ChainAdmits = func(services []string, _ uint32) (string, bool) {
 		return services[0], !d.HasArg("closed")
 	}
 	return inward
@@ -121,14 +121,14 @@
 
 // newTestFilters returns filters with the given rules and no call in flight, which admit
 // all requests.
-func newTestFilters(now time.Time, rules func() *Rules) *Inward {
-	return &Inward{
-		Clock:   fixedClock{now},
-		Metrics: metric.New(),
-		Log:     hclog.NewNullLogger(),
-		Rules:   rules,
-		Serving: func(string) (*call.Serving, bool) { return nil, false },
-		Allows:  func([]string, uint32) (string, bool) { return "", true },
+func newTestFilters(now time.Time, rules func() *Rules) *Inbound {
+	return &Inbound{
+		Clock:       fixedClock{now},
+		Metrics:     metric.New(),
+		Log:         hclog.NewNullLogger(),
+		Rules:       rules,
+		Serving:     func(string) (*call.Serving, bool) { return nil, false },
+		ChainAdmits: func([]string, uint32) (string, bool) { return "", true },
 	}
 }
 
--- a/internal/filter/inward.go
+++ b/internal/filter/inward.go
@@ -29,19 +29,19 @@
 	Limits   schema.Limits
 	// Match finds the kind by the method and the path.
 	Match func(method, path string) (*schema.Kind, bool)
-	// Prefix finds the kind by the host and a prefix of the path as it was sent. It may
+	// MatchPrefix finds the kind by the host and a prefix of the path as it was sent. It may
 	// be nil.
-	Prefix func(host, path string) (*schema.Kind, bool)
-	// Part returns the part of a split kind to which the next request belongs. It may be
+	MatchPrefix func(host, path string) (*schema.Kind, bool)
+	// SplitPart returns the part of a split kind to which the next request belongs. It may be
 	// nil.
-	Part func(kind *schema.Kind) *schema.Kind
+	SplitPart func(kind *schema.Kind) *schema.Kind
 	// Chain returns the services that a request of a kind is known to reach, its own
 	// first.
 	Chain func(kind string) []string
 }
 
-// Inward holds the dependencies of a node's filters.
-type Inward struct {
+// Inbound holds the dependencies of a node's filters.
+type Inbound struct {
 	Clock   clock.Clock
 	Metrics *metric.Set
 	Log     hclog.Logger
@@ -50,24 +50,24 @@
 	// Leaving reports whether there are no rules because the node is leaving. A nil
 	// function means no.
 	Leaving func() bool
-	// Fits reports whether a request with the given deadline ends in time for a planned
+	// EndsInTime reports whether a request with the given deadline ends in time for a planned
 	// stop of the node. A nil function means yes.
-	Fits func(deadline time.Time) bool
+	EndsInTime func(deadline time.Time) bool
 	// Serving finds the attempt in flight at the target that a context handle names.
 	Serving func(handle string) (*call.Serving, bool)
 	// TargetHost is the IP address from which context handles are accepted.
 	TargetHost string
-	// Allows reports whether all services of a chain accept requests of the given order,
+	// ChainAdmits reports whether all services of a chain accept requests of the given order,
 	// and otherwise names one that does not. If it is nil, all requests pass.
-	Allows func(services []string, order uint32) (string, bool)
-	// Failures limits the rate of log lines about requests that were not completed. If it
+	ChainAdmits func(services []string, order uint32) (string, bool)
+	// FailureLimiter limits the rate of log lines about requests that were not completed. If it
 	// is nil, none are logged.
-	Failures *trail.Limiter
-	// Admits decides whether a new request of a kind is admitted, and returns the share
+	FailureLimiter *trail.Limiter
+	// Throttle decides whether a new request of a kind is admitted, and returns the share
 	// of such requests that is. Ended receives the result of each admitted request. If
-	// Admits is nil, all requests are admitted.
-	Admits func(kind *schema.Kind) (share float64, ok bool)
-	Ended  func(kind *schema.Kind, code result.Code)
+	// Throttle is nil, all requests are admitted.
+	Throttle func(kind *schema.Kind) (share float64, ok bool)
+	Ended    func(kind *schema.Kind, code result.Code)
 }
 
 // Headers of callers' requests and of the answers to callers.
@@ -85,7 +85,7 @@
 )
 
 // Filters returns the filters in the order in which they run.
-func (f *Inward) Filters() []Filter {
+func (f *Inbound) Filters() []Filter {
 	return []Filter{
 		{Name: "record", Run: f.record},
 		{Name: "repeated", Run: guardRepeats},
@@ -98,7 +98,7 @@
 }
 
 // record counts and logs every request with its result.
-func (f *Inward) record(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
+func (f *Inbound) record(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	began := f.Clock.Now()
 	answer := next(ctx, exchange)
 	kind := "unknown"
@@ -127,11 +127,11 @@
 // logFailure logs a request that was not completed or took more than one attempt, with
 // the state that led to its result. The lines per second are limited for each result, and
 // the next line tells how many were left out.
-func (f *Inward) logFailure(c *call.Call, kind string, answer *call.Answer, took time.Duration) {
-	if f.Failures == nil || answer.Code == result.OK && len(c.Steps) < 2 {
+func (f *Inbound) logFailure(c *call.Call, kind string, answer *call.Answer, took time.Duration) {
+	if f.FailureLimiter == nil || answer.Code == result.OK && len(c.Steps) < 2 {
 		return
 	}
-	leftOut, ok := f.Failures.Allow(f.Clock.Now(), answer.Code.String())
+	leftOut, ok := f.FailureLimiter.Allow(f.Clock.Now(), answer.Code.String())
 	if !ok {
 		return
 	}
@@ -179,7 +179,7 @@
 }
 
 // classify determines the declared kind and the deadline.
-func (f *Inward) classify(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
+func (f *Inbound) classify(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	rules := f.Rules()
 	switch {
 	case rules == nil && f.Leaving != nil && f.Leaving():
@@ -192,14 +192,14 @@
 	if !ok {
 		return call.Refuse(result.UnknownKind, request.Method+" "+request.URL.EscapedPath())
 	}
-	if rules.Part != nil {
-		kind = rules.Part(kind)
+	if rules.SplitPart != nil {
+		kind = rules.SplitPart(kind)
 	}
 	deadline, err := f.deadline(request, kind)
 	if err != nil {
 		return call.Refuse(result.BadRequest, DeadlineHeader+": "+err.Error())
 	}
-	if f.Fits != nil && !f.Fits(deadline) {
+	if f.EndsInTime != nil && !f.EndsInTime(deadline) {
 		return call.Refuse(result.Leaving, "it may take longer than the planned stop")
 	}
 	c := exchange.Call
@@ -216,7 +216,7 @@
 }
 
 // deadline returns the declared deadline, or the caller's if that is earlier.
-func (f *Inward) deadline(request *http.Request, kind *schema.Kind) (time.Time, error) {
+func (f *Inbound) deadline(request *http.Request, kind *schema.Kind) (time.Time, error) {
 	left := kind.Deadline
 	if text := request.Header.Get(DeadlineHeader); text != "" {
 		requested, err := time.ParseDuration(text)
@@ -231,7 +231,7 @@
 // inherit lets a call made by the target inherit the importance, position, deadline and
 // retry tokens of the call that the target serves. A handle is accepted only from the
 // target's host; without a valid handle the call is a new request.
-func (f *Inward) inherit(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
+func (f *Inbound) inherit(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	c := exchange.Call
 	handle := exchange.Request.Header.Get(local.ContextHeader)
 	parent, ok := f.Serving(handle)
@@ -260,7 +260,7 @@
 // positionSeed returns the text from which a new request's place in the shedding order is
 // derived. This is its idempotency key, so that a repeat neither gets a better place nor
 // is rejected while its first transmission runs, or without a key the id of the request.
-func (f *Inward) positionSeed(exchange *Exchange) string {
+func (f *Inbound) positionSeed(exchange *Exchange) string {
 	if key := exchange.Request.Header.Get(KeyHeader); key != "" {
 		return key
 	}
@@ -271,7 +271,7 @@
 // retried. It removes FreshHeader: a target that copies its request headers to the calls
 // that it makes would otherwise claim that their keys are fresh, even when the target is
 // called a second time.
-func (f *Inward) key(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
+func (f *Inbound) key(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	header := exchange.Request.Header
 	fresh := header.Get(FreshHeader) == "true"
 	header.Del(FreshHeader)
@@ -292,7 +292,7 @@
 }
 
 // body reads the complete body of the request, up to the declared size.
-func (f *Inward) body(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
+func (f *Inbound) body(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	if exchange.Request.ContentLength == 0 {
 		return next(ctx, exchange)
 	}
@@ -313,7 +313,7 @@
 // before any work is done for it. A call made on behalf of a request in flight is not
 // rejected here, because work has already been done for that request; the node of the
 // called target decides.
-func (f *Inward) checkAdmission(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
+func (f *Inbound) checkAdmission(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	c := exchange.Call
 	share, ok := f.throttle(c)
 	c.Admitted = share
@@ -323,10 +323,10 @@
 		refused.Admitted = share
 		return refused
 	}
-	if c.Parent == nil && f.Allows != nil {
+	if c.Parent == nil && f.ChainAdmits != nil {
 		services := f.Rules().Chain(c.Kind.Name)
 		order := admit.Order(c.Importance, c.Position)
-		if service, ok := f.Allows(services, order); !ok {
+		if service, ok := f.ChainAdmits(services, order); !ok {
 			f.Metrics.Refusals.WithLabelValues(service, result.DoorClosed.String()).Inc()
 			return call.Refuse(result.DoorClosed, service)
 		}
@@ -341,9 +341,9 @@
 }
 
 // throttle asks Admits about a new request. A call made on behalf of another always passes.
-func (f *Inward) throttle(c *call.Call) (share float64, ok bool) {
-	if f.Admits == nil || c.Parent != nil {
+func (f *Inbound) throttle(c *call.Call) (share float64, ok bool) {
+	if f.Throttle == nil || c.Parent != nil {
 		return 1, true
 	}
-	return f.Admits(c.Kind)
+	return f.Throttle(c.Kind)
 }
--- a/internal/filter/path.go
+++ b/internal/filter/path.go
@@ -23,8 +23,8 @@
 // A prefix is compared with the path as it was sent, which is what the target receives.
 func kindOf(rules *Rules, request *http.Request) (*schema.Kind, bool) {
 	method, requestURL := request.Method, request.URL
-	if rules.Prefix != nil {
-		if kind, ok := rules.Prefix(request.Host, requestURL.EscapedPath()); ok {
+	if rules.MatchPrefix != nil {
+		if kind, ok := rules.MatchPrefix(request.Host, requestURL.EscapedPath()); ok {
 			return kind, true
 		}
 	}
--- a/internal/filter/repeated_test.go
+++ b/internal/filter/repeated_test.go
@@ -53,8 +53,8 @@
 		model := &meshModel{t: t}
 		var rules *Rules
 		inward := newTestFilters(time.Unix(1_800_000_000, 0), func() *Rules { return rules })
-		inward.Allows = func([]string, uint32) (string, bool) { return "orders", rapid.Bool().Draw(t, "open") }
-		door := Door(Chain(inward.Filters(), model.respond))
+		inward.ChainAdmits = func([]string, uint32) (string, bool) { return "orders", rapid.Bool().Draw(t, "open") }
+		door := Handler(Chain(inward.Filters(), model.respond))
 		method, path := http.MethodPost, "/orders"
 		if rapid.Bool().Draw(t, "safe") {
 			method, path = http.MethodGet, "/stock/rope"
--- a/internal/filter/serve.go
+++ b/internal/filter/serve.go
@@ -15,8 +15,8 @@
 // retryAfterSeconds is the Retry-After value of rejections due to overload.
 const retryAfterSeconds = "1"
 
-// Door returns a handler that answers requests of callers and targets with a chain.
-func Door(chain Next) func(ctx context.Context, request *http.Request) *ahead.Answer {
+// Handler returns a handler that answers requests of callers and targets with a chain.
+func Handler(chain Next) func(ctx context.Context, request *http.Request) *ahead.Answer {
 	return func(ctx context.Context, request *http.Request) *ahead.Answer {
 		exchange := NewExchange(request)
 		answer := chain(ctx, exchange)
@@ -62,8 +62,8 @@
 	return &ahead.Answer{Status: status, Header: header, Body: body}
 }
 
-// Unreadable returns the answer to a request that could not be parsed.
-func Unreadable(status int, reason string) *ahead.Answer {
+// UnreadableReply returns the answer to a request that could not be parsed.
+func UnreadableReply(status int, reason string) *ahead.Answer {
 	code := result.BadRequest
 	if status == http.StatusRequestEntityTooLarge {
 		code = result.BodyTooLarge
--- a/internal/local/attempt.go
+++ b/internal/local/attempt.go
@@ -223,7 +223,7 @@
 // they are queued in order of arrival, behind the requests of callers. The server's mutex
 // must be held.
 func (a *attempt) position() uint16 {
-	if a.server.settings.Admits != nil && a.server.origins.isInternal(a.request.Kind) {
+	if a.server.settings.CheckTarget != nil && a.server.origins.isInternal(a.request.Kind) {
 		return 0
 	}
 	return a.serving.Position
@@ -334,7 +334,7 @@
 		a.recordKey(now, code, answer, size)
 		delete(s.byKey, a.key.Text)
 	}
-	s.settings.Book.End(now, a.request.AttemptId, answer, size)
+	s.settings.AttemptRecords.End(now, a.request.AttemptId, answer, size)
 	delete(s.attempts, a.request.AttemptId)
 	a.answer = answer
 	close(a.done)
@@ -344,10 +344,10 @@
 // result on this node.
 func (a *attempt) logFailure(now time.Time, code result.Code, answer *relaypb.CarryResponse) {
 	s := a.server
-	if s.settings.Failures == nil {
+	if s.settings.FailureLimiter == nil {
 		return
 	}
-	leftOut, ok := s.settings.Failures.Allow(now, code.String())
+	leftOut, ok := s.settings.FailureLimiter.Allow(now, code.String())
 	if !ok {
 		return
 	}
--- a/internal/local/garble_test.go
+++ b/internal/local/garble_test.go
@@ -99,17 +99,17 @@
 func testWire() Wire {
 	return Wire{
 		IDHeader: idHeader,
-		Dress: func(about About) http1.Fields {
+		Headers: func(about CallInfo) http1.Fields {
 			return http1.Fields{{Name: idHeader, Value: about.RequestID}}
 		},
-		Judge: func(requestID string, status int, header http1.Fields) Mark {
+		Classify: func(requestID string, status int, header http1.Fields) Disposition {
 			switch echoed := header.Get(idHeader); {
 			case echoed != "" && echoed != requestID:
-				return Foreign
+				return WrongRequest
 			case header.Get(notRunMark) != "":
 				return NotRun
 			case status == http.StatusOK && (echoed == "" || header.Get(sealHeader) == ""):
-				return Foreign
+				return WrongRequest
 			}
 			return Answered
 		},
@@ -117,7 +117,7 @@
 }
 
 func (s *scriptedTarget) client() *Target {
-	target := NewTarget(s.listener.Addr().String(), 10, NewHeld(func() int64 { return 8 << 20 }))
+	target := NewTarget(s.listener.Addr().String(), 10, NewHeldMemory(func() int64 { return 8 << 20 }))
 	target.Wire = testWire()
 	return target
 }
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -27,15 +27,15 @@
 
 // Settings holds the dependencies of a Server.
 type Settings struct {
-	Incarnation string
-	Service     string
-	Target      *Target
-	Clock       clock.Clock
-	Metrics     *metric.Set
-	Log         hclog.Logger
-	Gate        *admit.Gate
-	Book        *fate.Store[*relaypb.CarryResponse]
-	Ledger      *once.Ledger[*relaypb.CarryResponse]
+	Incarnation    string
+	Service        string
+	Target         *Target
+	Clock          clock.Clock
+	Metrics        *metric.Set
+	Log            hclog.Logger
+	Gate           *admit.Gate
+	AttemptRecords *fate.Store[*relaypb.CarryResponse]
+	Ledger         *once.Ledger[*relaypb.CarryResponse]
 	// LedgerBytes is the upper bound on the memory of the ledger in bytes, whatever is
 	// declared.
 	LedgerBytes int64
@@ -48,20 +48,20 @@
 	// Levels returns the admission floors that this node knows of the services that a
 	// call of the kind may lead to.
 	Levels func(now time.Time, kind string) []*relaypb.Level
-	// Learn receives the floor of this node's own gate.
-	Learn func(floor uint32)
-	// Onward sends a call to another target after the local one rejected it with the
+	// PublishFloor receives the floor of this node's own gate.
+	PublishFloor func(floor uint32)
+	// Forward sends a call to another target after the local one rejected it with the
 	// given code. It may be nil.
-	Onward func(ctx context.Context, c *call.Call, refused result.Code) *call.Answer
+	Forward func(ctx context.Context, c *call.Call, refused result.Code) *call.Answer
 	// Revision returns the configuration revision in force on this node.
 	Revision func() int64
-	// Admits returns OK if the target process with the given id accepts work, and the
+	// CheckTarget returns OK if the target process with the given id accepts work, and the
 	// code to reject a call with otherwise. It is nil for targets that do not announce
 	// themselves.
-	Admits func(targetID string) result.Code
-	// Failures limits the rate of log lines about attempts that were not completed. If it
+	CheckTarget func(targetID string) result.Code
+	// FailureLimiter limits the rate of log lines about attempts that were not completed. If it
 	// is nil, none are logged.
-	Failures *trail.Limiter
+	FailureLimiter *trail.Limiter
 	// RetryRule returns the rule for the part of the shared retry budget that this node
 	// keeps for its target. It is nil if the nodes share no retry budget.
 	RetryRule func() budget.Rule
@@ -174,7 +174,7 @@
 	}
 	now := s.settings.Clock.Now()
 	s.mu.Lock()
-	verdict, recorded := s.settings.Book.Begin(now, request.AttemptId)
+	verdict, recorded := s.settings.AttemptRecords.Begin(now, request.AttemptId)
 	switch verdict {
 	case fate.Tombstoned, fate.Invalid, fate.Expired, fate.NeverSeen:
 		s.mu.Unlock()
@@ -205,7 +205,7 @@
 		return &relaypb.FateResponse{State: relaypb.FateState_FATE_STATE_OTHER_INCARNATION}
 	}
 	s.mu.Lock()
-	state, recorded := s.settings.Book.Query(s.settings.Clock.Now(), request.AttemptId)
+	state, recorded := s.settings.AttemptRecords.Query(s.settings.Clock.Now(), request.AttemptId)
 	running := s.attempts[request.AttemptId]
 	s.mu.Unlock()
 	switch state {
@@ -227,10 +227,10 @@
 
 // admits returns OK if the target process accepts work, and the rejection code otherwise.
 func (s *Server) admits(targetID string) result.Code {
-	if s.settings.Admits == nil {
+	if s.settings.CheckTarget == nil {
 		return result.OK
 	}
-	return s.settings.Admits(targetID)
+	return s.settings.CheckTarget(targetID)
 }
 
 // Restart applies the declaration of a new process of the target.
@@ -256,18 +256,18 @@
 	s.leaving = true
 }
 
-// RefuseNew stops admission, also of new idempotency keys. Admitted and queued attempts
+// StopAdmission stops admission, also of new idempotency keys. Admitted and queued attempts
 // continue.
-func (s *Server) RefuseNew() {
+func (s *Server) StopAdmission() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusing = true
 	s.settings.Ledger.Leave(s.settings.Clock.Now())
 }
 
-// EndBy makes the server reject attempts whose deadline is after end. Their senders try
+// SetEndBy makes the server reject attempts whose deadline is after end. Their senders try
 // other nodes.
-func (s *Server) EndBy(end time.Time) {
+func (s *Server) SetEndBy(end time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endBy = end
@@ -313,10 +313,10 @@
 	s.settings.Gate.Resize(s.settings.Clock.Now(), settings)
 }
 
-// Regulate applies the declared limits on idempotency keys. Only the key age may change
+// SetKeyRules applies the declared limits on idempotency keys. Only the key age may change
 // later. The clock margin and the memory for records are taken from the first
 // declaration, because promises made with one margin do not hold with another.
-func (s *Server) Regulate(self once.Node, rules once.Rules, recordBytes int64) {
+func (s *Server) SetKeyRules(self once.Node, rules once.Rules, recordBytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.keyRulesSet {
@@ -327,16 +327,16 @@
 	s.settings.Ledger = once.NewLedger[*relaypb.CarryResponse](self, rules, min(recordBytes, s.settings.LedgerBytes))
 }
 
-// Keep drops the statistics of kinds that are not declared.
-func (s *Server) Keep(declared func(kind string) bool) {
+// RetainKinds drops the statistics of kinds that are not declared.
+func (s *Server) RetainKinds(declared func(kind string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.origins.retain(declared)
 	s.settings.Gate.RetainKinds(declared)
 }
 
-// Ledger calls use with the ledger of idempotency keys while it holds the server's mutex.
-func (s *Server) Ledger(use func(ledger *once.Ledger[*relaypb.CarryResponse])) {
+// WithLedger calls use with the ledger of idempotency keys while it holds the server's mutex.
+func (s *Server) WithLedger(use func(ledger *once.Ledger[*relaypb.CarryResponse])) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	use(s.settings.Ledger)
@@ -346,13 +346,13 @@
 // tick.
 func (s *Server) tick() time.Duration {
 	load, floor := s.tickGate()
-	s.settings.Learn(floor)
+	s.settings.PublishFloor(floor)
 	s.settings.Metrics.InFlight.Set(float64(load.InFlight))
 	s.settings.Metrics.Limit.Set(float64(load.Limit))
 	s.settings.Metrics.Queued.Set(float64(load.Queued))
 	s.settings.Metrics.Offered.Set(load.Offered)
 	s.settings.Metrics.Floor.Set(float64(floor))
-	if load.Queued > 0 || load.InFlight > 0 && s.settings.Admits == nil {
+	if load.Queued > 0 || load.InFlight > 0 && s.settings.CheckTarget == nil {
 		return tickPeriod
 	}
 	return idlePeriod
@@ -414,11 +414,11 @@
 	}
 	load := s.settings.Gate.Load(now)
 	s.settings.Log.Debug("gate_load", "in_flight", load.InFlight, "limit", load.Limit, "queued", load.Queued, "offered", load.Offered, "cold", load.Cold)
-	s.settings.Book.Forget(now)
+	s.settings.AttemptRecords.Forget(now)
 	s.settings.Ledger.Forget(now)
-	book := s.settings.Book.Stats()
+	book := s.settings.AttemptRecords.Stats()
 	s.settings.Metrics.RecordBytes.Set(float64(book.Bytes + s.settings.Ledger.Stats().Bytes))
-	s.monitor.check(book, s.settings.Book.MaxBytes())
+	s.monitor.check(book, s.settings.AttemptRecords.MaxBytes())
 	s.monitor.reportUsage(now, s.started, s.requests())
 	s.settings.Metrics.HeldBytes.Set(float64(s.settings.Target.HeldBytes()))
 }
@@ -513,7 +513,7 @@
 	defer s.mu.Unlock()
 	load := s.settings.Gate.Load(now)
 	answer.AttemptId = request.AttemptId
-	answer.Inner = s.settings.Admits != nil && s.origins.isInternal(request.Kind)
+	answer.Inner = s.settings.CheckTarget != nil && s.origins.isInternal(request.Kind)
 	answer.Revision = s.settings.Revision()
 	answer.Levels = levels
 	answer.Levels = append(answer.Levels, &relaypb.Level{
--- a/internal/local/local_test.go
+++ b/internal/local/local_test.go
@@ -150,9 +150,9 @@
 	kind := &schema.Kind{Name: "k", Service: "s", Repeat: schema.Never}
 	server := newServer(target.listener.Addr().String(), kind, schema.DefaultLimits())
 	server.settings.Ledger = owningLedger(t)
-	server.settings.Learn = func(uint32) {}
+	server.settings.PublishFloor = func(uint32) {}
 	var forwarded []*call.Call
-	server.settings.Onward = func(_ context.Context, c *call.Call, refused result.Code) *call.Answer {
+	server.settings.Forward = func(_ context.Context, c *call.Call, refused result.Code) *call.Answer {
 		is.Equal(refused, result.TargetStopped)
 		forwarded = append(forwarded, c)
 		return &call.Answer{Code: result.OK, Status: http.StatusOK, Body: []byte("there")}
@@ -218,20 +218,20 @@
 
 func newServer(target string, kind *schema.Kind, limits schema.Limits) *Server {
 	return New(Settings{
-		Incarnation: incarnation,
-		Service:     kind.Service,
-		Target:      NewTarget(target, 4, NewHeld(func() int64 { return 1 << 20 })),
-		Clock:       clock.System{},
-		Metrics:     metric.New(),
-		Log:         hclog.NewNullLogger(),
-		Gate:        admit.NewGate(admit.Settings{Slots: 4, Queue: 4, QueueWait: time.Second}),
-		Book:        fate.New[*relaypb.CarryResponse](fate.Settings{Retention: time.Minute, MaxBytes: 1 << 20}),
-		Ledger:      once.NewLedger[*relaypb.CarryResponse](once.Node{}, once.Rules{}, 1<<20),
-		Kind:        func(string) *schema.Kind { return kind },
-		Limits:      func() schema.Limits { return limits },
-		ShedStatus:  func() int { return http.StatusServiceUnavailable },
-		Levels:      func(time.Time, string) []*relaypb.Level { return nil },
-		Revision:    func() int64 { return 1 },
+		Incarnation:    incarnation,
+		Service:        kind.Service,
+		Target:         NewTarget(target, 4, NewHeldMemory(func() int64 { return 1 << 20 })),
+		Clock:          clock.System{},
+		Metrics:        metric.New(),
+		Log:            hclog.NewNullLogger(),
+		Gate:           admit.NewGate(admit.Settings{Slots: 4, Queue: 4, QueueWait: time.Second}),
+		AttemptRecords: fate.New[*relaypb.CarryResponse](fate.Settings{Retention: time.Minute, MaxBytes: 1 << 20}),
+		Ledger:         once.NewLedger[*relaypb.CarryResponse](once.Node{}, once.Rules{}, 1<<20),
+		Kind:           func(string) *schema.Kind { return kind },
+		Limits:         func() schema.Limits { return limits },
+		ShedStatus:     func() int { return http.StatusServiceUnavailable },
+		Levels:         func(time.Time, string) []*relaypb.Level { return nil },
+		Revision:       func() int64 { return 1 },
 	})
 }
 
--- a/internal/local/onward.go
+++ b/internal/local/onward.go
@@ -18,10 +18,10 @@
 func (a *attempt) forward(ctx context.Context, refused *relaypb.CarryResponse) *relaypb.CarryResponse {
 	s := a.server
 	code := result.Code(refused.Code)
-	if !a.keyed || s.settings.Onward == nil || !forwardable(code) {
+	if !a.keyed || s.settings.Forward == nil || !forwardable(code) {
 		return refused
 	}
-	answer := s.settings.Onward(ctx, a.keylessCall(), code)
+	answer := s.settings.Forward(ctx, a.keylessCall(), code)
 	if answer.Code.Family() == result.NotRun {
 		return refused
 	}
--- a/internal/local/order_test.go
+++ b/internal/local/order_test.go
@@ -20,7 +20,7 @@
 	target.hang = make(chan struct{})
 	inner := &schema.Kind{Name: "inner", Service: "s", Method: http.MethodGet, Repeat: schema.Safe}
 	announced := newServer(target.listener.Addr().String(), inner, schema.DefaultLimits())
-	announced.settings.Admits = func(string) result.Code { return result.OK }
+	announced.settings.CheckTarget = func(string) result.Code { return result.OK }
 	unannounced := newServer(target.listener.Addr().String(), inner, schema.DefaultLimits())
 	for _, s := range []*Server{announced, unannounced} {
 		for range 2 * int(minOrigins) {
--- a/internal/local/target.go
+++ b/internal/local/target.go
@@ -23,7 +23,7 @@
 		address     string
 		connections int
 		client      atomic.Pointer[http1.Client]
-		held        *Held
+		held        *HeldMemory
 		// Wire must be set before the first call.
 		Wire Wire
 	}
@@ -33,19 +33,19 @@
 	Wire struct {
 		// IDHeader is the answer header that names the request, and Hidden a header of
 		// the caller that is not passed to the target.
-		IDHeader string
-		Hidden   string
-		// Dress returns the headers that describe a call to the target. They replace the
+		IDHeader     string
+		HiddenHeader string
+		// Headers returns the headers that describe a call to the target. They replace the
 		// caller's headers of the same names. If it is nil, ContextHeader and
 		// TimeLeftHeader are set.
-		Dress func(about About) http1.Fields
-		// Judge classifies the head of an answer. If it is nil, the answer is classified
+		Headers func(about CallInfo) http1.Fields
+		// Classify classifies the head of an answer. If it is nil, the answer is classified
 		// by its status.
-		Judge func(requestID string, status int, header http1.Fields) Mark
+		Classify func(requestID string, status int, header http1.Fields) Disposition
 	}
 
-	// About describes a call to a target.
-	About struct {
+	// CallInfo describes a call to a target.
+	CallInfo struct {
 		RequestID string
 		// CallerService is the service from whose host the request comes.
 		CallerService string
@@ -55,24 +55,24 @@
 		Left time.Duration
 	}
 
-	// Mark is what the head of an answer says about a call.
-	Mark uint8
+	// Disposition is what the head of an answer says about a call.
+	Disposition uint8
 )
 
 // The values of Mark.
 const (
 	// Answered means that the target answered the call.
-	Answered Mark = iota
+	Answered Disposition = iota
 	// NotRun means that the target reports that it did not run the call.
 	NotRun
-	// Moved means that a process other than the addressed one rejected the call.
-	Moved
-	// Foreign means that the answer does not belong to the call.
-	Foreign
+	// WrongProcess means that a process other than the addressed one rejected the call.
+	WrongProcess
+	// WrongRequest means that the answer does not belong to the call.
+	WrongRequest
 )
 
-// Held bounds the memory for answers that are buffered until they are complete.
-type Held struct {
+// HeldMemory bounds the memory for answers that are buffered until they are complete.
+type HeldMemory struct {
 	bytes atomic.Int64
 	limit func() int64
 }
@@ -107,7 +107,7 @@
 
 // NewTarget returns a client for the target at an address. It opens at most the given
 // number of connections.
-func NewTarget(address string, connections int, held *Held) *Target {
+func NewTarget(address string, connections int, held *HeldMemory) *Target {
 	t := &Target{address: address, held: held}
 	t.SetConnections(connections)
 	return t
@@ -142,13 +142,13 @@
 	return t.held.Bytes()
 }
 
-// NewHeld returns a bound that calls limit at each use, because the limit may change.
-func NewHeld(limit func() int64) *Held {
-	return &Held{limit: limit}
+// NewHeldMemory returns a bound that calls limit at each use, because the limit may change.
+func NewHeldMemory(limit func() int64) *HeldMemory {
+	return &HeldMemory{limit: limit}
 }
 
 // Bytes returns the memory in use in bytes.
-func (h *Held) Bytes() int64 {
+func (h *HeldMemory) Bytes() int64 {
 	return h.bytes.Load()
 }
 
@@ -167,7 +167,7 @@
 	reply.Status = call.Answer.Status
 	reply.Facts.Status = call.Answer.Status
 	reply.Headers = packFields(call.Answer.Fields)
-	if t.Wire.Judge != nil {
+	if t.Wire.Classify != nil {
 		t.classifyHead(attempt, call, &reply.Facts)
 	}
 	if reply.Facts.OtherCall {
@@ -213,14 +213,14 @@
 // classifyHead records in the facts what the head of an answer says about the call.
 func (t *Target) classifyHead(attempt *relaypb.CarryRequest, call *http1.Call, facts *fate.Facts) {
 	facts.MarksNotRun = true
-	switch t.Wire.Judge(attempt.RequestId, call.Answer.Status, call.Answer.Fields) {
+	switch t.Wire.Classify(attempt.RequestId, call.Answer.Status, call.Answer.Fields) {
 	case NotRun:
 		facts.NotRun = true
 		call.Refused(t.Wire.namesRequest(attempt.RequestId, call.Answer.Fields))
-	case Moved:
+	case WrongProcess:
 		facts.OtherIncarnation = true
 		call.Refused(t.Wire.namesRequest(attempt.RequestId, call.Answer.Fields))
-	case Foreign:
+	case WrongRequest:
 		facts.OtherCall = true
 	case Answered:
 	}
@@ -293,7 +293,7 @@
 	nodeHeaders := t.nodeHeaders(ctx, handle, attempt)
 	request.Fields = make(http1.Fields, 0, len(attempt.Headers)+len(nodeHeaders))
 	for _, header := range attempt.Headers {
-		if !nodeHeaders.Has(header.Name) && header.Name != t.Wire.Hidden {
+		if !nodeHeaders.Has(header.Name) && header.Name != t.Wire.HiddenHeader {
 			request.Fields = append(request.Fields, http1.Field{Name: header.Name, Value: header.Value})
 		}
 	}
@@ -307,14 +307,14 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		left = time.Until(deadline)
 	}
-	if t.Wire.Dress == nil {
+	if t.Wire.Headers == nil {
 		return http1.Fields{
 			{Name: ContextHeader, Value: handle},
 			{Name: TimeLeftHeader, Value: strconv.FormatInt(left.Milliseconds(), 10)},
 		}
 	}
 	_, targetID := relay.SplitIncarnation(attempt.Incarnation)
-	return t.Wire.Dress(About{
+	return t.Wire.Headers(CallInfo{
 		RequestID:     attempt.RequestId,
 		CallerService: attempt.CallerService,
 		TargetID:      targetID,
--- a/internal/local/target_test.go
+++ b/internal/local/target_test.go
@@ -22,7 +22,7 @@
 		overhead    = 1000
 	)
 	whole := bytes.Repeat([]byte("x"), bytesOfBody)
-	target := NewTarget("127.0.0.1:1", 1, NewHeld(func() int64 { return 1 << 20 }))
+	target := NewTarget("127.0.0.1:1", 1, NewHeldMemory(func() int64 { return 1 << 20 }))
 	read := func() *Reply {
 		reply := &Reply{}
 		target.readBody(context.Background(), reply, bytes.NewReader(whole), bytesOfBody, 1<<20)
@@ -43,7 +43,7 @@
 // A body that ends before its announced length is not complete.
 func TestShortBodyIsNotWhole(t *testing.T) {
 	is := is.New(t)
-	target := NewTarget("127.0.0.1:1", 1, NewHeld(func() int64 { return 1 << 20 }))
+	target := NewTarget("127.0.0.1:1", 1, NewHeldMemory(func() int64 { return 1 << 20 }))
 	reply := &Reply{}
 	target.readBody(context.Background(), reply, bytes.NewReader([]byte("short")), 10, 1<<20)
 	is.Equal(reply.Facts.BodyComplete, false)
@@ -55,10 +55,10 @@
 // hidden header is not forwarded.
 func TestTargetSeesTheNodesOwnHeadersOnly(t *testing.T) {
 	is := is.New(t)
-	target := NewTarget("127.0.0.1:1", 1, NewHeld(func() int64 { return 1 << 20 }))
+	target := NewTarget("127.0.0.1:1", 1, NewHeldMemory(func() int64 { return 1 << 20 }))
 	target.Wire = Wire{
-		Hidden: "Dandelion-Deadline",
-		Dress:  func(about About) http1.Fields { return http1.Fields{{Name: "Target", Value: about.TargetID}} },
+		HiddenHeader: "Dandelion-Deadline",
+		Headers:      func(about CallInfo) http1.Fields { return http1.Fields{{Name: "Target", Value: about.TargetID}} },
 	}
 	request := target.buildRequest(context.Background(), "", &relaypb.CarryRequest{
 		Method: "GET", Path: "/a?b=c", Incarnation: "node/i-1",
--- a/internal/node/doors.go
+++ b/internal/node/doors.go
@@ -52,10 +52,10 @@
 		d.Parse = parseDocument
 	}
 	if d.Callers == nil {
-		d.Callers = filter.Door
+		d.Callers = filter.Handler
 	}
 	if d.Refuse == nil {
-		d.Refuse = filter.Unreadable
+		d.Refuse = filter.UnreadableReply
 	}
 	return d
 }
--- a/internal/node/heir.go
+++ b/internal/node/heir.go
@@ -23,7 +23,7 @@
 		return false
 	}
 	accepted := false
-	n.local.Ledger(func(ledger *once.Ledger[*relaypb.CarryResponse]) {
+	n.local.WithLedger(func(ledger *once.Ledger[*relaypb.CarryResponse]) {
 		accepted = ledger.Import(request.FromIncarnation, unpackRecords(request.Records))
 	})
 	if accepted && request.Last {
--- a/internal/node/leave.go
+++ b/internal/node/leave.go
@@ -61,7 +61,7 @@
 	defer refuseLong.Stop()
 	n.pause(ctx, n.leaveGrace(timeout)-n.clock.Now().Sub(started))
 	n.awaitCallersGone(ctx, started, timeout)
-	n.local.RefuseNew()
+	n.local.StopAdmission()
 	n.closed.Store(true)
 	if !n.awaitDrained(end.Sub(n.clock.Now())) {
 		n.log.Warn("drain_timed_out", "after", timeout)
@@ -80,7 +80,7 @@
 // beyond end: the request would be cut off then, and nobody could tell whether it ran.
 func (n *Node) setDrainDeadline(end time.Time) {
 	n.drainDeadline.Store(&end)
-	n.local.EndBy(end)
+	n.local.SetEndBy(end)
 }
 
 // endsInTime reports whether a request with the given deadline ends before a planned
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,7 +47,7 @@
 	members     *member.Controller
 	sender      *entry.Sender
 	local       *local.Server
-	heldAnswers *local.Held
+	heldAnswers *local.HeldMemory
 	rules       atomic.Pointer[filter.Rules]
 	plans       plans
 	takeovers   takeovers
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -70,7 +70,7 @@
 	}
 	n.plans.put(service, plan)
 	if service == n.settings.Service {
-		n.local.Ledger(func(ledger *once.Ledger[*relaypb.CarryResponse]) { ledger.ApplyPlan(plan) })
+		n.local.WithLedger(func(ledger *once.Ledger[*relaypb.CarryResponse]) { ledger.ApplyPlan(plan) })
 	}
 }
 
@@ -119,7 +119,7 @@
 		return false
 	}
 	promised := false
-	n.local.Ledger(func(ledger *once.Ledger[*relaypb.CarryResponse]) { promised = ledger.Promise(now, next) })
+	n.local.WithLedger(func(ledger *once.Ledger[*relaypb.CarryResponse]) { promised = ledger.Promise(now, next) })
 	if !promised {
 		return false
 	}
@@ -222,7 +222,7 @@
 		return false
 	}
 	var records []once.Record[*relaypb.CarryResponse]
-	n.local.Ledger(func(ledger *once.Ledger[*relaypb.CarryResponse]) { records = ledger.Export() })
+	n.local.WithLedger(func(ledger *once.Ledger[*relaypb.CarryResponse]) { records = ledger.Export() })
 	for _, successor := range n.owners() {
 		if successor.Leaving || successor.Incarnation == n.incarnation {
 			continue
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -145,7 +145,7 @@
 }
 
 func (n *Node) newLocal() *local.Server {
-	n.heldAnswers = local.NewHeld(func() int64 { return n.limits().HeldBytes })
+	n.heldAnswers = local.NewHeldMemory(func() int64 { return n.limits().HeldBytes })
 	service := schema.DefaultService()
 	recordBytes := n.settings.MemoryBytes / recordMemoryDivisor
 	target := local.NewTarget(n.settings.TargetAddress, service.Connections, n.heldAnswers)
@@ -161,28 +161,28 @@
 		pressed = n.sender.PressureReports
 	}
 	return local.New(local.Settings{
-		Incarnation: n.incarnation,
-		Service:     n.settings.Service,
-		Target:      target,
-		Admits:      admits,
-		RetryRule:   retryBudgetRule,
-		Pressed:     pressed,
-		Failures:    trail.NewLimiter(failureLinesPerSecond, time.Second),
-		Clock:       n.clock,
-		Metrics:     n.metrics,
-		Log:         n.log.Named("local"),
-		Gate:        admit.NewGate(n.gateSettings(service)),
-		Book:        fate.New[*relaypb.CarryResponse](n.attemptRecordSettings(recordBytes)),
-		Ledger:      once.NewLedger[*relaypb.CarryResponse](n.owner(), ownerRules(schema.DefaultLimits()), recordBytes),
-		LedgerBytes: recordBytes,
-		Kind:        n.kind,
-		Limits:      n.limits,
-		ShedStatus:  n.shedStatus,
-		Levels:      n.knownFloors,
-		Learn: func(floor uint32) {
+		Incarnation:    n.incarnation,
+		Service:        n.settings.Service,
+		Target:         target,
+		CheckTarget:    admits,
+		RetryRule:      retryBudgetRule,
+		Pressed:        pressed,
+		FailureLimiter: trail.NewLimiter(failureLinesPerSecond, time.Second),
+		Clock:          n.clock,
+		Metrics:        n.metrics,
+		Log:            n.log.Named("local"),
+		Gate:           admit.NewGate(n.gateSettings(service)),
+		AttemptRecords: fate.New[*relaypb.CarryResponse](n.attemptRecordSettings(recordBytes)),
+		Ledger:         once.NewLedger[*relaypb.CarryResponse](n.owner(), ownerRules(schema.DefaultLimits()), recordBytes),
+		LedgerBytes:    recordBytes,
+		Kind:           n.kind,
+		Limits:         n.limits,
+		ShedStatus:     n.shedStatus,
+		Levels:         n.knownFloors,
+		PublishFloor: func(floor uint32) {
 			n.sender.LearnFloor(n.settings.Service, n.incarnation, floor)
 		},
-		Onward:   n.sender.SendElsewhere,
+		Forward:  n.sender.SendElsewhere,
 		Revision: n.config.Number,
 		Requests: func() int64 { return n.callers.Taken() },
 	})
@@ -200,26 +200,26 @@
 	return settings
 }
 
-func (n *Node) inboundFilters() *filter.Inward {
+func (n *Node) inboundFilters() *filter.Inbound {
 	host, _, _ := net.SplitHostPort(n.settings.TargetAddress)
-	inboundFilters := &filter.Inward{
-		Failures:   trail.NewLimiter(failureLinesPerSecond, time.Second),
-		Clock:      n.clock,
-		Metrics:    n.metrics,
-		Log:        n.log.Named("filter"),
-		Rules:      n.activeRules,
-		Leaving:    n.closed.Load,
-		Fits:       n.endsInTime,
-		Serving:    n.local.Serving,
-		TargetHost: host,
-		Allows:     n.sender.Allows,
+	inboundFilters := &filter.Inbound{
+		FailureLimiter: trail.NewLimiter(failureLinesPerSecond, time.Second),
+		Clock:          n.clock,
+		Metrics:        n.metrics,
+		Log:            n.log.Named("filter"),
+		Rules:          n.activeRules,
+		Leaving:        n.closed.Load,
+		EndsInTime:     n.endsInTime,
+		Serving:        n.local.Serving,
+		TargetHost:     host,
+		ChainAdmits:    n.sender.Allows,
 	}
 	if n.targetsAnnounce() {
 		// Where calls do not name the request that they are made for, their floors say
 		// nothing at the request's entry. The throttle goes by the results of requests.
-		inboundFilters.Admits = n.sender.Admits
+		inboundFilters.Throttle = n.sender.Admits
 		inboundFilters.Ended = n.sender.RecordEnd
-		inboundFilters.Allows = nil
+		inboundFilters.ChainAdmits = nil
 	}
 	return inboundFilters
 }
--- a/internal/node/rules.go
+++ b/internal/node/rules.go
@@ -45,12 +45,12 @@
 	}
 	splits := route.NewSplits(set.Kinds, rand.Float64)
 	n.rules.Store(&filter.Rules{
-		Revision: revision.Number,
-		Limits:   set.Limits,
-		Match:    matcher.Match,
-		Prefix:   matcher.MatchPrefix,
-		Part:     splits.Next,
-		Chain:    func(kind string) []string { return chains[kind] },
+		Revision:    revision.Number,
+		Limits:      set.Limits,
+		Match:       matcher.Match,
+		MatchPrefix: matcher.MatchPrefix,
+		SplitPart:   splits.Next,
+		Chain:       func(kind string) []string { return chains[kind] },
 	})
 	for _, centre := range set.DataCentres {
 		if centre.Name == n.settings.DataCentre {
@@ -58,7 +58,7 @@
 		}
 	}
 	n.forgetUndeclaredKinds(chains)
-	n.local.Regulate(n.owner(), ownerRules(set.Limits), set.Limits.RecordBytes)
+	n.local.SetKeyRules(n.owner(), ownerRules(set.Limits), set.Limits.RecordBytes)
 	if document, version := n.config.Plan(n.settings.Service); version > 0 {
 		n.learnPlan(n.settings.Service, document, version)
 	}
@@ -80,7 +80,7 @@
 		return ok
 	}
 	n.sender.RetainKinds(declared)
-	n.local.Keep(declared)
+	n.local.RetainKinds(declared)
 	n.metrics.Keep(slices.Collect(maps.Keys(chains)))
 }
 
