--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -50,7 +50,7 @@
 var sizes = []int{50, 150, 530, 1060}
 
 func (s relayServer) Exchange(_ context.Context, req *connect.Request[relaypb.ExchangeRequest]) (*connect.Response[relaypb.ExchangeResponse], error) {
-	return connect.NewResponse(s.member.Answer(req.Msg)), nil
+	return connect.NewResponse(s.member.HandleExchange(req.Msg)), nil
 }
 
 func (s relayServer) Fetch(_ context.Context, req *connect.Request[relaypb.FetchRequest]) (*connect.Response[relaypb.FetchResponse], error) {
@@ -258,7 +258,7 @@
 	c := member.New(sampleRow(1), plat.NewMemory().Store(), clock.System{}, hclog.NewNullLogger())
 	size := 0
 	for b.Loop() {
-		resp := c.Answer(&relaypb.ExchangeRequest{From: "10.20.0.9:7401", WantFull: true})
+		resp := c.HandleExchange(&relaypb.ExchangeRequest{From: "10.20.0.9:7401", WantFull: true})
 		size = proto.Size(resp.Deltas[0])
 	}
 	b.ReportMetric(float64(size), "bytes/row")
--- a/internal/member/cluster_test.go
+++ b/internal/member/cluster_test.go
@@ -112,7 +112,7 @@
 	n.member.CatchUp = func(ctx context.Context, peers []string) error {
 		return n.config.BootOnce(ctx, peers, c.clock.now.Sub(n.started) < 10*time.Second)
 	}
-	n.member.Heard = func(from string, revision int64, plans []*relaypb.PlanVersion) {
+	n.member.OnPeerVersions = func(from string, revision int64, plans []*relaypb.PlanVersion) {
 		n.config.Heard(context.Background(), from, revision)
 		n.config.HeardPlans(context.Background(), from, plans)
 	}
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	resp := to.member.Answer(req)
+	resp := to.member.HandleExchange(req)
 	if n.cluster.random.Float64() < n.cluster.lossRate {
 		return nil, errLost
 	}
@@ -398,7 +398,7 @@
 	c.tick = coarseTick
 	c.advance(time.Hour)
 	for _, n := range c.nodes {
-		n.member.Answer(&relaypb.ExchangeRequest{From: stale.RelayAddress, Deltas: []*relaypb.Member{{
+		n.member.HandleExchange(&relaypb.ExchangeRequest{From: stale.RelayAddress, Deltas: []*relaypb.Member{{
 			Name: stale.Name, Incarnation: stale.Incarnation, StartedMs: stale.StartedMS,
 			Version: stale.Version, RelayAddress: stale.RelayAddress, State: uint32(member.Active),
 		}}})
--- a/internal/member/control.go
+++ b/internal/member/control.go
@@ -94,16 +94,16 @@
 	Clock clock.Clock
 	// Random returns a random number in [0, 1).
 	Random func() float64
-	// Changed is called after changes of the view, without the lock held. It may be nil.
-	Changed func()
-	Log     hclog.Logger
+	// OnChange is called after changes of the view, without the lock held. It may be nil.
+	OnChange func()
+	Log      hclog.Logger
 
 	// Revision and Plans return the configuration revision and the owner plans in force at
 	// this node. Heard is called with those of the node at a relay address after each
 	// exchange. All three may be nil.
-	Revision func() int64
-	Plans    func() []*relaypb.PlanVersion
-	Heard    func(from string, revision int64, plans []*relaypb.PlanVersion)
+	Revision       func() int64
+	Plans          func() []*relaypb.PlanVersion
+	OnPeerVersions func(from string, revision int64, plans []*relaypb.PlanVersion)
 	// CatchUp is called before the node becomes ready, with the relay addresses of members,
 	// to fetch the configuration in force. While CatchUp fails, the node stays unready. It
 	// may be nil.
@@ -181,8 +181,8 @@
 	return unreadyInterval
 }
 
-// Kick requests a round without delay.
-func (c *Controller) Kick() {
+// RequestRound requests a round without delay.
+func (c *Controller) RequestRound() {
 	signal(c.roundRequests)
 }
 
@@ -215,7 +215,7 @@
 	c.mu.Unlock()
 	if changed {
 		c.notify()
-		c.Kick()
+		c.RequestRound()
 		signal(c.leaseRequests)
 	}
 }
@@ -312,8 +312,8 @@
 }
 
 func (c *Controller) notify() {
-	if c.Changed != nil {
-		c.Changed()
+	if c.OnChange != nil {
+		c.OnChange()
 	}
 }
 
--- a/internal/member/exchange.go
+++ b/internal/member/exchange.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Answer handles the server's side of an exchange.
-func (c *Controller) Answer(req *relaypb.ExchangeRequest) *relaypb.ExchangeResponse {
+// HandleExchange handles the server's side of an exchange.
+func (c *Controller) HandleExchange(req *relaypb.ExchangeRequest) *relaypb.ExchangeResponse {
 	revision, plans := c.localVersions()
 	rows := fromWire(req.GetDeltas())
 	// If the hash of the rows equals the sender's view hash, the sender has sent its full
@@ -146,8 +146,8 @@
 	if changed {
 		c.notify()
 	}
-	if c.Heard != nil {
-		c.Heard(from, revision, plans)
+	if c.OnPeerVersions != nil {
+		c.OnPeerVersions(from, revision, plans)
 	}
 }
 
--- a/internal/member/run_test.go
+++ b/internal/member/run_test.go
@@ -39,7 +39,7 @@
 	for i := range size {
 		row := sampleRow(i)
 		c := member.New(row, memory.Store(), clk, hclog.NewNullLogger())
-		c.Changed = func() {
+		c.OnChange = func() {
 			select {
 			case changed <- struct{}{}:
 			default:
@@ -50,7 +50,7 @@
 			if !ok {
 				return nil, errors.New("no such address")
 			}
-			return to.Answer(req), nil
+			return to.HandleExchange(req), nil
 		}
 		controllers[row.RelayAddress] = c
 	}
@@ -109,7 +109,7 @@
 		if i == 1 {
 			message.State = uint32(member.Gone)
 		}
-		c.Answer(&relaypb.ExchangeRequest{From: row.RelayAddress, Deltas: []*relaypb.Member{message}})
+		c.HandleExchange(&relaypb.ExchangeRequest{From: row.RelayAddress, Deltas: []*relaypb.Member{message}})
 	}
 	const rounds = 100
 	for range rounds {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return admin.Applied{}, err
 	}
-	n.members.Kick()
+	n.members.RequestRound()
 	return admin.Applied{Revision: revision.Number, Digest: revision.Digest}, nil
 }
 
@@ -96,7 +96,7 @@
 	if err != nil {
 		return admin.Applied{}, err
 	}
-	n.members.Kick()
+	n.members.RequestRound()
 	return admin.Applied{Revision: revision.Number, Digest: revision.Digest, Changes: before.Diff(revision.Set)}, nil
 }
 
--- a/internal/node/leave.go
+++ b/internal/node/leave.go
@@ -55,7 +55,7 @@
 	go n.members.Leave(ctx)
 	if n.needsPlan() {
 		n.changePlan(ctx, n.nextPlan)
-		n.members.Kick()
+		n.members.RequestRound()
 	}
 	refuseLong := time.AfterFunc(time.Duration(refuseLongShare*float64(timeout)), func() { n.setDrainDeadline(end) })
 	defer refuseLong.Stop()
@@ -67,7 +67,7 @@
 		n.log.Warn("drain_timed_out", "after", timeout)
 	}
 	if n.handOver(ctx) {
-		n.members.Kick()
+		n.members.RequestRound()
 		n.pause(ctx, handoverGrace)
 	}
 	departing, cancel := context.WithTimeout(ctx, departTimeout)
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -82,10 +82,10 @@
 		State:         member.Starting,
 	}, n.store, n.clock, n.log.Named("member"))
 	c.Send = n.client.Exchange
-	c.Changed = n.membersChanged
+	c.OnChange = n.membersChanged
 	c.Revision = n.config.Number
 	c.Plans = n.config.Plans
-	c.Heard = func(from string, revision int64, plans []*relaypb.PlanVersion) {
+	c.OnPeerVersions = func(from string, revision int64, plans []*relaypb.PlanVersion) {
 		ctx := context.Background()
 		n.config.Heard(ctx, from, revision)
 		n.config.HeardPlans(ctx, from, plans)
@@ -119,7 +119,7 @@
 		PlanCovers:    n.ownerKnown,
 		Opaque:        n.targetsAnnounce(),
 		RetryShare:    n.retryShare,
-		OnStaleView:   n.members.Kick,
+		OnStaleView:   n.members.RequestRound,
 	}
 	s.SharedBudget = n.settings.RetryWindow > 0
 	s.Init(admit.NewEntryGate())
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -51,7 +51,7 @@
 
 // Exchange merges the membership updates of a peer and returns those of this node.
 func (r *relayService) Exchange(_ context.Context, request *connect.Request[relaypb.ExchangeRequest]) (*connect.Response[relaypb.ExchangeResponse], error) {
-	return connect.NewResponse(r.node.members.Answer(request.Msg)), nil
+	return connect.NewResponse(r.node.members.HandleExchange(request.Msg)), nil
 }
 
 // Fetch returns the configuration in force and the owner plans asked for.
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -32,7 +32,7 @@
 		var exchanges sync.WaitGroup
 		for _, name := range []string{"b", "c"} {
 			exchanges.Go(func() {
-				n.members.Answer(&relaypb.ExchangeRequest{From: name, Deltas: []*relaypb.Member{{
+				n.members.HandleExchange(&relaypb.ExchangeRequest{From: name, Deltas: []*relaypb.Member{{
 					Name: name, Incarnation: fmt.Sprint(name, round), StartedMs: int64(round + 1), Version: 1,
 					RelayAddress: name, Service: "s", State: uint32(member.Active),
 				}}})
