--- a/internal/entry/pressure_test.go
+++ b/internal/entry/pressure_test.go
@@ -84,8 +84,8 @@
 	})
 	s.Clock = clock
 	s.Opaque = true
-	s.Metrics.Pressure.From(s.Pressures)
-	s.Metrics.Admitted.From(s.AdmittedShares)
+	s.Metrics.Pressure.SetSource(s.Pressures)
+	s.Metrics.Admitted.SetSource(s.AdmittedShares)
 	kind := order().Kind
 	_, admitted := s.Admits(kind)
 	is.True(admitted)
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -190,7 +190,7 @@
 	if s.moves > maxMoves {
 		return false
 	}
-	s.sender.Metrics.Moves.WithLabelValues(s.call.Kind.Service).Inc()
+	s.sender.Metrics.Redirects.WithLabelValues(s.call.Kind.Service).Inc()
 	return true
 }
 
@@ -390,7 +390,7 @@
 			s.pause(ctx)
 			continue
 		}
-		s.sender.Metrics.FateAsked.WithLabelValues(fate.State.String()).Inc()
+		s.sender.Metrics.FateQueries.WithLabelValues(fate.State.String()).Inc()
 		switch fate.State {
 		case relaypb.FateState_FATE_STATE_NEVER_SEEN:
 			return nil, result.Unreachable, route.Blameless
--- a/internal/local/watch.go
+++ b/internal/local/watch.go
@@ -56,7 +56,7 @@
 
 // check logs each start and end of a shortage. It is called once a second.
 func (w *selfMonitor) check(book fate.Stats, maxBytes int64) {
-	w.metrics.BookUse.Set(float64(book.Bytes) / float64(max(maxBytes, 1)))
+	w.metrics.AttemptRecordsUsed.Set(float64(book.Bytes) / float64(max(maxBytes, 1)))
 	refused := book.Refused - w.refused
 	w.refused = book.Refused
 	if full := refused > 0; full != w.full {
--- a/internal/metric/levels.go
+++ b/internal/metric/levels.go
@@ -17,8 +17,8 @@
 	return &DynamicGauge{description: prometheus.NewDesc(prometheus.BuildFQName(namespace, "", name), help, []string{label}, nil)}
 }
 
-// From sets the function that returns the values by label. Until then there are none.
-func (l *DynamicGauge) From(read func() map[string]float64) {
+// SetSource sets the function that returns the values by label. Until then there are none.
+func (l *DynamicGauge) SetSource(read func() map[string]float64) {
 	l.read.Store(&read)
 }
 
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -14,9 +14,9 @@
 	Refusals      *prometheus.CounterVec
 	Retries       *prometheus.CounterVec
 	RetriesDenied *prometheus.CounterVec
-	Moves         *prometheus.CounterVec
+	Redirects     *prometheus.CounterVec
 	Attempts      *prometheus.CounterVec
-	FateAsked     *prometheus.CounterVec
+	FateQueries   *prometheus.CounterVec
 	Replayed      prometheus.Counter
 	TargetStops   prometheus.Counter
 	RelaySeconds  *prometheus.HistogramVec
@@ -35,10 +35,10 @@
 	HeldBytes      prometheus.Gauge
 	TargetHealth   prometheus.Gauge
 	RecordBytes    prometheus.Gauge
-	// BookUse is the used share of the capacity for records of attempts, and TimerLate
+	// AttemptRecordsUsed is the used share of the capacity for records of attempts, and TimerLate
 	// how late the node's own timers fire, which indicates a lack of processor time.
-	BookUse   prometheus.Gauge
-	TimerLate prometheus.Histogram
+	AttemptRecordsUsed prometheus.Gauge
+	TimerLate          prometheus.Histogram
 	// These mirror what a status shows of this node.
 	TargetStopped    *prometheus.GaugeVec
 	UnownedKeyShare  *prometheus.GaugeVec
@@ -65,9 +65,9 @@
 	s.Refusals = counters("refusals_total", "Calls refused, by service and reason.", "service", "reason")
 	s.Retries = counters("retries_total", "Repeated attempts sent, by service and the reason of the repeat.", "service", "reason")
 	s.RetriesDenied = counters("retries_denied_total", "Repeats that were not sent, by service and what forbade them.", "service", "reason")
-	s.Moves = counters("moves_total", "Attempts sent on to another target after one that was not reached, by service.", "service")
+	s.Redirects = counters("moves_total", "Attempts sent on to another target after one that was not reached, by service.", "service")
 	s.Attempts = counters("attempts_total", "Attempts sent to nodes, by service.", "service")
-	s.FateAsked = counters("fate_asked_total", "Attempts whose connection was lost, by what the other node said.", "answer")
+	s.FateQueries = counters("fate_asked_total", "Attempts whose connection was lost, by what the other node said.", "answer")
 	s.Replayed = prometheus.NewCounter(options("replayed_total", "Answers taken from the record of an idempotency key."))
 	s.TargetStops = prometheus.NewCounter(options("target_stops_total", "Times the target stopped answering while it held calls."))
 	s.RelaySeconds = histograms("attempt_seconds", "Time from sending an attempt to its answer, by service.", "service")
@@ -84,7 +84,7 @@
 	s.HeldBytes = gauge("held_bytes", "Bytes of answers held until whole.")
 	s.TargetHealth = gauge("target_health", "1 when the target's health endpoint says so; decides nothing.")
 	s.RecordBytes = gauge("record_bytes", "Bytes of idempotency and attempt records.")
-	s.BookUse = gauge("attempt_records_used", "Used share of the room for records of attempts; at 1 attempts are refused.")
+	s.AttemptRecordsUsed = gauge("attempt_records_used", "Used share of the room for records of attempts; at 1 attempts are refused.")
 	s.TimerLate = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Namespace: namespace,
 		Name:      "timer_late_seconds",
@@ -106,9 +106,9 @@
 	s.Registry.MustRegister(
 		collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
-		s.Requests, s.Refusals, s.Retries, s.RetriesDenied, s.Moves, s.Attempts, s.FateAsked,
+		s.Requests, s.Refusals, s.Retries, s.RetriesDenied, s.Redirects, s.Attempts, s.FateQueries,
 		s.Replayed, s.TargetStops, s.RelaySeconds, s.RequestSeconds, s.QueueSeconds, s.TargetSeconds, s.InFlight, s.Limit, s.Queued, s.Offered, s.Floor,
-		s.Revision, s.Members, s.HeldBytes, s.TargetHealth, s.RecordBytes, s.BookUse, s.TimerLate,
+		s.Revision, s.Members, s.HeldBytes, s.TargetHealth, s.RecordBytes, s.AttemptRecordsUsed, s.TimerLate,
 		s.TargetStopped, s.UnownedKeyShare, s.PendingHandovers, s.PlatformSilent,
 		s.Pressure, s.Admitted,
 	)
--- a/internal/node/book_test.go
+++ b/internal/node/book_test.go
@@ -21,7 +21,7 @@
 func TestBookHoldsASurge(t *testing.T) {
 	is := is.New(t)
 	store := plat.NewMemory().Store()
-	n := New(&setup.Node{Name: "node", MemoryBytes: 48 << 20}, hclog.NewNullLogger(), clock.System{}, Doors{
+	n := New(&setup.Node{Name: "node", MemoryBytes: 48 << 20}, hclog.NewNullLogger(), clock.System{}, Adapters{
 		Store:   &store,
 		Control: silentControl,
 	})
@@ -51,7 +51,7 @@
 	const perSecond = 5000
 	is := is.New(t)
 	store := plat.NewMemory().Store()
-	n := New(&setup.Node{Name: "node", MemoryBytes: 48 << 20}, hclog.NewNullLogger(), clock.System{}, Doors{
+	n := New(&setup.Node{Name: "node", MemoryBytes: 48 << 20}, hclog.NewNullLogger(), clock.System{}, Adapters{
 		Store:   &store,
 		Control: silentControl,
 	})
@@ -82,6 +82,6 @@
 }
 
 // silentControl returns the control handler of a target that never announces itself.
-func silentControl(Announce) http.Handler {
+func silentControl(TargetEvents) http.Handler {
 	return http.NotFoundHandler()
 }
--- a/internal/node/doors.go
+++ b/internal/node/doors.go
@@ -17,45 +17,45 @@
 )
 
 type (
-	// Doors holds the implementations through which a node reaches its surroundings. A
+	// Adapters holds the implementations through which a node reaches its surroundings. A
 	// zero field selects the project's own implementation.
-	Doors struct {
+	Adapters struct {
 		// Store accesses the platform.
 		Store *plat.Store
 		// Source waits for the next configuration that operators write on the platform,
 		// and Parse decodes its document.
 		Source func(ctx context.Context, wait time.Duration) (*config.Revision, error)
 		Parse  func(document []byte) (*schema.Set, error)
-		// Callers returns the handler that answers requests of callers and targets
+		// CallerHandler returns the handler that answers requests of callers and targets
 		// through the filter chain.
-		Callers func(chain filter.Next) func(ctx context.Context, request *http.Request) *ahead.Answer
-		// Refuse answers a request that could not be read.
-		Refuse func(status int, reason string) *ahead.Answer
-		// Target is the protocol that is spoken with the target.
-		Target local.Wire
+		CallerHandler func(chain filter.Next) func(ctx context.Context, request *http.Request) *ahead.Answer
+		// RefuseUnreadable answers a request that could not be read.
+		RefuseUnreadable func(status int, reason string) *ahead.Answer
+		// TargetWire is the protocol that is spoken with the target.
+		TargetWire local.Wire
 		// Control returns the handler for the heartbeats of a target that announces
 		// itself. It is served at the address of the setting control_listen.
-		Control func(announce Announce) http.Handler
+		Control func(announce TargetEvents) http.Handler
 	}
 
-	// Announce holds the callbacks for what a target reports to its node. Each returns
+	// TargetEvents holds the callbacks for what a target reports to its node. Each returns
 	// once the node acts on the report.
-	Announce struct {
-		Beat   func(b beat.Heartbeat) beat.Verdict
-		Depart func(id string, bornMS int64)
+	TargetEvents struct {
+		Heartbeat func(b beat.Heartbeat) beat.Verdict
+		Depart    func(id string, bornMS int64)
 	}
 )
 
 // withDefaults sets unset fields to the project's own implementations.
-func (d Doors) withDefaults() Doors {
+func (d Adapters) withDefaults() Adapters {
 	if d.Parse == nil {
 		d.Parse = parseDocument
 	}
-	if d.Callers == nil {
-		d.Callers = filter.Handler
+	if d.CallerHandler == nil {
+		d.CallerHandler = filter.Handler
 	}
-	if d.Refuse == nil {
-		d.Refuse = filter.UnreadableReply
+	if d.RefuseUnreadable == nil {
+		d.RefuseUnreadable = filter.UnreadableReply
 	}
 	return d
 }
@@ -64,8 +64,8 @@
 func (n *Node) callerServer() *ahead.Server {
 	chain := filter.Chain(n.inboundFilters().Filters(), n.dispatch)
 	return &ahead.Server{
-		Handle: n.adapters.Callers(chain),
-		Refuse: n.adapters.Refuse,
+		Handle: n.adapters.CallerHandler(chain),
+		Refuse: n.adapters.RefuseUnreadable,
 		Log:    n.log.Named("ahead"),
 		Bounds: func() ahead.Bounds {
 			limits := n.limits()
--- a/internal/node/kinds_test.go
+++ b/internal/node/kinds_test.go
@@ -28,7 +28,7 @@
 			Kinds:    []schema.Kind{{Name: fmt.Sprint("kind-", number), Service: "s", Deadline: time.Second}},
 		}, nil
 	}
-	n := New(settings, hclog.NewNullLogger(), clock.System{}, Doors{Parse: declared})
+	n := New(settings, hclog.NewNullLogger(), clock.System{}, Adapters{Parse: declared})
 	for number = 1; number <= changes; number++ {
 		document := []byte(fmt.Sprint("revision ", number))
 		is.True(n.config.Offer(config.Revision{Number: int64(number), Document: document, Digest: config.Digest(document)}))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,7 +34,7 @@
 // Node is one node process, which runs beside one target.
 type Node struct {
 	settings *setup.Node
-	adapters Doors
+	adapters Adapters
 	log      hclog.Logger
 	clock    clock.Clock
 	metrics  *metric.Set
@@ -93,11 +93,11 @@
 
 // Run runs a node until the context ends, and then drains it.
 func Run(ctx context.Context, settings *setup.Node, log hclog.Logger) error {
-	return RunWith(ctx, settings, log, Doors{})
+	return RunWith(ctx, settings, log, Adapters{})
 }
 
 // RunWith is Run with the given implementations in place of the project's own.
-func RunWith(ctx context.Context, settings *setup.Node, log hclog.Logger, adapters Doors) error {
+func RunWith(ctx context.Context, settings *setup.Node, log hclog.Logger, adapters Adapters) error {
 	heap.SetInitialPercent()
 	bound, err := listen(settings)
 	if err != nil {
@@ -108,7 +108,7 @@
 }
 
 // New assembles a node without starting anything.
-func New(settings *setup.Node, log hclog.Logger, clk clock.Clock, adapters Doors) *Node {
+func New(settings *setup.Node, log hclog.Logger, clk clock.Clock, adapters Adapters) *Node {
 	n := &Node{
 		settings:    settings,
 		adapters:    adapters.withDefaults(),
@@ -133,8 +133,8 @@
 	n.members = n.newMembers()
 	n.sender = n.newSender()
 	n.local = n.newLocal()
-	n.metrics.Pressure.From(n.sender.Pressures)
-	n.metrics.Admitted.From(n.sender.AdmittedShares)
+	n.metrics.Pressure.SetSource(n.sender.Pressures)
+	n.metrics.Admitted.SetSource(n.sender.AdmittedShares)
 	n.callers = n.callerServer()
 	return n
 }
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -149,7 +149,7 @@
 	service := schema.DefaultService()
 	recordBytes := n.settings.MemoryBytes / recordMemoryDivisor
 	target := local.NewTarget(n.settings.TargetAddress, service.Connections, n.heldAnswers)
-	target.Wire = n.adapters.Target
+	target.Wire = n.adapters.TargetWire
 	var admits func(targetID string) result.Code
 	var pressed func(kind string) []*relaypb.Pressed
 	var retryBudgetRule func() budget.Rule
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -25,7 +25,7 @@
 	is := is.New(t)
 	settings := &setup.Node{Name: "a", Service: "s", TargetAddress: "127.0.0.1:1", PlatformAddress: "127.0.0.1:1", MemoryBytes: 16 << 20}
 	declared := func([]byte) (*schema.Set, error) { return &schema.Set{Services: []schema.Service{{Name: "s"}}}, nil }
-	n := New(settings, hclog.NewNullLogger(), clock.System{}, Doors{Parse: declared})
+	n := New(settings, hclog.NewNullLogger(), clock.System{}, Adapters{Parse: declared})
 	document := []byte("one service")
 	is.True(n.config.Offer(config.Revision{Number: 1, Document: document, Digest: config.Digest(document)}))
 	for round := range concurrentUpdateRounds {
@@ -62,7 +62,7 @@
 		Name: "a", Service: "s", TargetAddress: "127.0.0.1:1", PlatformAddress: "127.0.0.1:1", MemoryBytes: 16 << 20,
 		RetryShare: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 48,
 	}
-	n := New(settings, hclog.NewNullLogger(), clock.System{}, Doors{})
+	n := New(settings, hclog.NewNullLogger(), clock.System{}, Adapters{})
 	is.Equal(n.retryBudgetRule().Slack, 0.0)
 	is.True(n.retryBudgetRule().Share > 0)
 }
--- a/internal/node/status_test.go
+++ b/internal/node/status_test.go
@@ -60,7 +60,7 @@
 func TestReportTellsWhatOnlyTheNodeKnows(t *testing.T) {
 	is := is.New(t)
 	settings := &setup.Node{Name: "a", Service: "s", TargetAddress: "127.0.0.1:1", PlatformAddress: "127.0.0.1:1", MemoryBytes: 16 << 20}
-	n := New(settings, hclog.NewNullLogger(), clock.System{}, Doors{})
+	n := New(settings, hclog.NewNullLogger(), clock.System{}, Adapters{})
 	report := func() *relaypb.ReportResponse {
 		response, err := (&relayService{node: n}).Report(context.Background(), connect.NewRequest(&relaypb.ReportRequest{}))
 		is.NoErr(err)
--- a/internal/node/target.go
+++ b/internal/node/target.go
@@ -23,8 +23,8 @@
 const departureGrace = 700 * time.Millisecond
 
 // announce returns the callbacks for the target's heartbeats.
-func (n *Node) announce() Announce {
-	return Announce{Beat: n.heartbeat, Depart: n.departed}
+func (n *Node) announce() TargetEvents {
+	return TargetEvents{Heartbeat: n.heartbeat, Depart: n.departed}
 }
 
 // heartbeat processes a heartbeat. Once it returns, the admission gate acts on the
