--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -45,8 +45,8 @@
 		// and Rollback return config.NotKept, config.Unreachable or config.Invalid when a
 		// former revision is not available.
 		History func(ctx context.Context) ([]config.Entry, error)
-		// Former returns a kept revision.
-		Former func(ctx context.Context, number int64) (config.Revision, error)
+		// LoadRevision returns a kept revision.
+		LoadRevision func(ctx context.Context, number int64) (config.Revision, error)
 		// Rollback does what Apply does, with the document of a kept revision. Its result
 		// contains the changes.
 		Rollback func(ctx context.Context, number, expected int64, dryRun bool) (Applied, error)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -50,7 +50,7 @@
 		History: func(context.Context) ([]config.Entry, error) {
 			return []config.Entry{{Number: 2, Digest: "d2", Node: "orders-1", Restores: 1}, {Number: 1, Digest: "d1"}}, node.fail
 		},
-		Former: func(_ context.Context, number int64) (config.Revision, error) {
+		LoadRevision: func(_ context.Context, number int64) (config.Revision, error) {
 			return config.Revision{Number: number, Set: node.set, Document: []byte("former")}, node.fail
 		},
 		Rollback: func(ctx context.Context, _, expected int64, dryRun bool) (Applied, error) {
--- a/internal/admin/history.go
+++ b/internal/admin/history.go
@@ -38,7 +38,7 @@
 		fail(ctx, http.StatusBadRequest, Failure{Error: "a revision number from 1 must follow, found " + strconv.Quote(text)})
 		return
 	}
-	former, err := s.Former(ctx.Request().Context(), number)
+	former, err := s.LoadRevision(ctx.Request().Context(), number)
 	if err != nil {
 		failLoad(ctx, err)
 		return
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -207,17 +207,17 @@
 	return true
 }
 
-// Heard records that the node at the address has the revision, and fetches the revision
+// ObserveRevision records that the node at the address has the revision, and fetches the revision
 // if it is higher than the one in force here.
-func (c *Controller) Heard(ctx context.Context, from string, number int64) {
+func (c *Controller) ObserveRevision(ctx context.Context, from string, number int64) {
 	c.raiseHighest(number)
 	if number > c.Number() {
 		c.fetchSoon(ctx, from, nil)
 	}
 }
 
-// Answer serves a Fetch request of another node.
-func (c *Controller) Answer(req *relaypb.FetchRequest) *relaypb.FetchResponse {
+// HandleFetch serves a Fetch request of another node.
+func (c *Controller) HandleFetch(req *relaypb.FetchRequest) *relaypb.FetchResponse {
 	resp := &relaypb.FetchResponse{}
 	if revision := c.Current(); revision != nil {
 		resp.Revision = revision.Number
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -204,7 +204,7 @@
 	}
 	is.True(errorx.IsOfType(c.BootOnce(ctx, nil, false), config.NoRevision))                 // no peers
 	is.True(errorx.IsOfType(c.BootOnce(ctx, []string{"unknown"}, false), config.NoRevision)) // no peer with a revision
-	c.Heard(ctx, "unknown", 2)
+	c.ObserveRevision(ctx, "unknown", 2)
 	is.True(errorx.IsOfType(c.BootOnce(ctx, []string{"a", "b", "c"}, true), config.NoRevision))
 	is.NoErr(c.BootOnce(ctx, []string{"b", "c", "d"}, true))
 	is.Equal(c.Number(), int64(2))
@@ -217,7 +217,7 @@
 	owner := controller(memory.Store())
 	other := controller(memory.Store())
 	other.Fetch = func(_ context.Context, _ string, plans []string) (*relaypb.FetchResponse, error) {
-		return owner.Answer(&relaypb.FetchRequest{Plans: plans}), nil
+		return owner.HandleFetch(&relaypb.FetchRequest{Plans: plans}), nil
 	}
 	var taken []int64
 	other.OnPlan = func(_ string, _ []byte, version int64) { taken = append(taken, version) }
@@ -234,8 +234,8 @@
 	is.Equal(again, second) // written once
 
 	memory.SetFaults(plat.Faults{Down: true})
-	other.HeardPlans(ctx, "owner", owner.Plans())
-	other.HeardPlans(ctx, "owner", owner.Plans())
+	other.ObservePlans(ctx, "owner", owner.Plans())
+	other.ObservePlans(ctx, "owner", owner.Plans())
 	is.True(!other.OfferPlan("orders", []byte("p1"), first))
 	document, version := other.Plan("orders")
 	is.Equal(string(document), "p3")
@@ -272,7 +272,7 @@
 		if address == "dead" {
 			return nil, errors.New("no answer")
 		}
-		return peer.Answer(&relaypb.FetchRequest{Plans: plans}), nil
+		return peer.HandleFetch(&relaypb.FetchRequest{Plans: plans}), nil
 	}
 	is.NoErr(c.Boot(ctx, func() []string { return []string{"dead", "a", "b"} }))
 	is.Equal(<-inForce, int64(1))
--- a/internal/config/plans.go
+++ b/internal/config/plans.go
@@ -43,9 +43,9 @@
 	return newer
 }
 
-// HeardPlans fetches the owner plans of which the node at the address has a newer
+// ObservePlans fetches the owner plans of which the node at the address has a newer
 // version.
-func (c *Controller) HeardPlans(ctx context.Context, from string, versions []*relaypb.PlanVersion) {
+func (c *Controller) ObservePlans(ctx context.Context, from string, versions []*relaypb.PlanVersion) {
 	var services []string
 	for _, heard := range versions {
 		if _, version := c.Plan(heard.GetService()); heard.GetVersion() > version {
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -54,7 +54,7 @@
 }
 
 func (s relayServer) Fetch(_ context.Context, req *connect.Request[relaypb.FetchRequest]) (*connect.Response[relaypb.FetchResponse], error) {
-	return connect.NewResponse(s.config.Answer(req.Msg)), nil
+	return connect.NewResponse(s.config.HandleFetch(req.Msg)), nil
 }
 
 func (l countingListener) Accept() (net.Conn, error) {
@@ -345,7 +345,7 @@
 					}
 					return resp.Msg, nil
 				}
-				fetcher.Heard(context.Background(), server.URL, 1)
+				fetcher.ObserveRevision(context.Background(), server.URL, 1)
 				if fetcher.Number() != 1 {
 					b.Fatal("the revision was not fetched")
 				}
--- a/internal/member/cluster_test.go
+++ b/internal/member/cluster_test.go
@@ -113,8 +113,8 @@
 		return n.config.BootOnce(ctx, peers, c.clock.now.Sub(n.started) < 10*time.Second)
 	}
 	n.member.OnPeerVersions = func(from string, revision int64, plans []*relaypb.PlanVersion) {
-		n.config.Heard(context.Background(), from, revision)
-		n.config.HeardPlans(context.Background(), from, plans)
+		n.config.ObserveRevision(context.Background(), from, revision)
+		n.config.ObservePlans(context.Background(), from, plans)
 	}
 }
 
@@ -143,7 +143,7 @@
 	if err != nil || n.fetchFails {
 		return nil, errLost
 	}
-	return to.config.Answer(&relaypb.FetchRequest{Plans: plans}), nil
+	return to.config.HandleFetch(&relaypb.FetchRequest{Plans: plans}), nil
 }
 
 func (n *node) receiver(address string) (*node, error) {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -28,16 +28,16 @@
 
 func (n *Node) adminServer() *admin.Server {
 	return &admin.Server{
-		Log:      n.log.Named("admin"),
-		Token:    n.settings.OperatorToken,
-		Registry: n.metrics.Registry,
-		Apply:    n.apply,
-		Current:  n.current,
-		History:  n.config.History,
-		Former:   n.config.Load,
-		Rollback: n.rollback,
-		Watch:    n.watch,
-		Status:   n.describe,
+		Log:          n.log.Named("admin"),
+		Token:        n.settings.OperatorToken,
+		Registry:     n.metrics.Registry,
+		Apply:        n.apply,
+		Current:      n.current,
+		History:      n.config.History,
+		LoadRevision: n.config.Load,
+		Rollback:     n.rollback,
+		Watch:        n.watch,
+		Status:       n.describe,
 		Drain: func(context.Context) error {
 			n.Drain()
 			return nil
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -87,8 +87,8 @@
 	c.Plans = n.config.Plans
 	c.OnPeerVersions = func(from string, revision int64, plans []*relaypb.PlanVersion) {
 		ctx := context.Background()
-		n.config.Heard(ctx, from, revision)
-		n.config.HeardPlans(ctx, from, plans)
+		n.config.ObserveRevision(ctx, from, revision)
+		n.config.ObservePlans(ctx, from, plans)
 	}
 	c.CatchUp = func(ctx context.Context, peers []string) error {
 		return n.config.Boot(ctx, func() []string { return peers })
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -56,7 +56,7 @@
 
 // Fetch returns the configuration in force and the owner plans asked for.
 func (r *relayService) Fetch(_ context.Context, request *connect.Request[relaypb.FetchRequest]) (*connect.Response[relaypb.FetchResponse], error) {
-	return connect.NewResponse(r.node.config.Answer(request.Msg)), nil
+	return connect.NewResponse(r.node.config.HandleFetch(request.Msg)), nil
 }
 
 // Report returns the load of the target beside this node.
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -84,18 +84,18 @@
 
 func (m *fakeMesh) server(token string) *admin.Server {
 	return &admin.Server{
-		Log:       hclog.NewNullLogger(),
-		Token:     token,
-		Registry:  prometheus.NewRegistry(),
-		Apply:     m.apply,
-		Current:   m.current,
-		History:   m.entries,
-		Former:    m.former,
-		Rollback:  m.rollback,
-		Watch:     m.watch,
-		Status:    m.status,
-		Ready:     func() bool { return true },
-		Heartbeat: time.Millisecond,
+		Log:          hclog.NewNullLogger(),
+		Token:        token,
+		Registry:     prometheus.NewRegistry(),
+		Apply:        m.apply,
+		Current:      m.current,
+		History:      m.entries,
+		LoadRevision: m.former,
+		Rollback:     m.rollback,
+		Watch:        m.watch,
+		Status:       m.status,
+		Ready:        func() bool { return true },
+		Heartbeat:    time.Millisecond,
 		Drain: func(context.Context) error {
 			m.mutex.Lock()
 			defer m.mutex.Unlock()
