--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -437,7 +437,7 @@
 func (s *sendState) queryFate(ctx context.Context, target route.Target, request *relaypb.CarryRequest, wait, timeout time.Duration) (*relaypb.FateResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	response, err := s.sender.Client.To(target.Address).Fate(ctx, connect.NewRequest(&relaypb.FateRequest{
+	response, err := s.sender.Client.CallClient(target.Address).Fate(ctx, connect.NewRequest(&relaypb.FateRequest{
 		AttemptId:   request.AttemptId,
 		Incarnation: request.Incarnation,
 		WaitMs:      uint32(wait.Milliseconds()),
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -31,7 +31,7 @@
 
 	// Call is one request and its response. It must be closed.
 	Call struct {
-		Answer Response
+		Response Response
 		// Sent is set once a byte of the request may have reached the server.
 		Sent bool
 		// Err says why there is no response, nil if there is one.
@@ -237,7 +237,7 @@
 	if err != nil {
 		return err
 	}
-	c.Answer = answer
+	c.Response = answer
 	c.body, err = c.conn.newBody(c.request.Method, answer)
 	return err
 }
@@ -256,14 +256,14 @@
 	if c.body.ended {
 		return 0
 	}
-	return c.Answer.Length
+	return c.Response.Length
 }
 
-// Refused records that the server refused the request without running it, and whether the
+// RecordRefusal records that the server refused the request without running it, and whether the
 // response names the request. A faulty server may send the same refusal again, so the
 // connection does not carry this request again, and no request at all after a refusal
 // that does not name its request.
-func (c *Call) Refused(named bool) {
+func (c *Call) RecordRefusal(named bool) {
 	if !named || c.request.ID == "" {
 		c.noReuse = true
 		return
@@ -283,7 +283,7 @@
 		return
 	}
 	intact := c.stopWatch()
-	reusable := intact && !c.noReuse && c.body.ended && c.conn.reusable(c.Answer) && c.requestWritten()
+	reusable := intact && !c.noReuse && c.body.ended && c.conn.reusable(c.Response) && c.requestWritten()
 	if reusable {
 		c.client.putIdle(c.conn)
 	} else {
--- a/internal/http1/client_test.go
+++ b/internal/http1/client_test.go
@@ -124,7 +124,7 @@
 			call.Close()
 			return fmt.Sprintf("sent=%t error: %s\n", call.Sent, call.Err)
 		}
-		status, fields := call.Answer.Status, call.Answer.Fields
+		status, fields := call.Response.Status, call.Response.Fields
 		body, err := io.ReadAll(call)
 		call.Close()
 		if err != nil {
--- a/internal/local/target.go
+++ b/internal/local/target.go
@@ -164,9 +164,9 @@
 		t.noteInterruption(ctx, reply)
 		return reply
 	}
-	reply.Status = call.Answer.Status
-	reply.Facts.Status = call.Answer.Status
-	reply.Headers = packFields(call.Answer.Fields)
+	reply.Status = call.Response.Status
+	reply.Facts.Status = call.Response.Status
+	reply.Headers = packFields(call.Response.Fields)
 	if t.Wire.Classify != nil {
 		t.classifyHead(attempt, call, &reply.Facts)
 	}
@@ -213,13 +213,13 @@
 // classifyHead records in the facts what the head of an answer says about the call.
 func (t *Target) classifyHead(attempt *relaypb.CarryRequest, call *http1.Call, facts *fate.Facts) {
 	facts.MarksNotRun = true
-	switch t.Wire.Classify(attempt.RequestId, call.Answer.Status, call.Answer.Fields) {
+	switch t.Wire.Classify(attempt.RequestId, call.Response.Status, call.Response.Fields) {
 	case NotRun:
 		facts.NotRun = true
-		call.Refused(t.Wire.namesRequest(attempt.RequestId, call.Answer.Fields))
+		call.RecordRefusal(t.Wire.namesRequest(attempt.RequestId, call.Response.Fields))
 	case WrongProcess:
 		facts.OtherIncarnation = true
-		call.Refused(t.Wire.namesRequest(attempt.RequestId, call.Answer.Fields))
+		call.RecordRefusal(t.Wire.namesRequest(attempt.RequestId, call.Response.Fields))
 	case WrongRequest:
 		facts.OtherCall = true
 	case Answered:
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -268,7 +268,7 @@
 	group.SetLimit(maxConcurrentReports)
 	for _, m := range members {
 		group.Go(func() error {
-			response, err := n.client.Control(m.RelayAddress).Report(ctx, connect.NewRequest(&relaypb.ReportRequest{}))
+			response, err := n.client.ControlClient(m.RelayAddress).Report(ctx, connect.NewRequest(&relaypb.ReportRequest{}))
 			if err != nil {
 				return nil
 			}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -121,7 +121,7 @@
 		drain:       make(chan struct{}),
 	}
 	n.drainTimeout.Store(int64(settings.DrainTimeout))
-	n.client.From = net.ParseIP(settings.RelayFrom)
+	n.client.LocalIP = net.ParseIP(settings.RelayFrom)
 	n.client.OnSilent(n.linkSilent(trail.NewLimiter(failureLinesPerSecond, time.Second)))
 	n.platform.answered = n.started
 	store := plat.NewClient(settings.PlatformAddress, plat.Limits{})
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -265,7 +265,7 @@
 			Records:         packRecords(n.settings.Service, batch),
 			Last:            len(records) == 0,
 		}
-		response, err := n.client.Control(successor.Address).Handover(ctx, connect.NewRequest(request))
+		response, err := n.client.ControlClient(successor.Address).Handover(ctx, connect.NewRequest(request))
 		if err != nil || !response.Msg.Accepted {
 			return false
 		}
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -77,7 +77,7 @@
 
 // fetch asks another node for its configuration and plans.
 func (n *Node) fetch(ctx context.Context, address string, plans []string) (*relaypb.FetchResponse, error) {
-	response, err := n.client.Control(address).Fetch(ctx, connect.NewRequest(&relaypb.FetchRequest{Plans: plans}))
+	response, err := n.client.ControlClient(address).Fetch(ctx, connect.NewRequest(&relaypb.FetchRequest{Plans: plans}))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -23,9 +23,9 @@
 // Client connects to all other nodes. It has a separate transport for each of them, so
 // that dropping a silent connection does not affect the others.
 type Client struct {
-	// From is the local IP address that connections are opened from. If it is nil, the
+	// LocalIP is the local IP address that connections are opened from. If it is nil, the
 	// system chooses one.
-	From net.IP
+	LocalIP net.IP
 
 	// links carry the calls.
 	links *link.Pool
@@ -90,7 +90,7 @@
 	if !errors.Is(err, link.ErrOtherProtocol) {
 		return answer, err
 	}
-	response, err := c.To(address).Carry(ctx, connect.NewRequest(request))
+	response, err := c.CallClient(address).Carry(ctx, connect.NewRequest(request))
 	if err != nil {
 		return nil, err
 	}
@@ -100,15 +100,15 @@
 // open opens a connection to another node.
 func (c *Client) open(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	if c.From != nil {
-		dialer.LocalAddr = &net.TCPAddr{IP: c.From}
+	if c.LocalIP != nil {
+		dialer.LocalAddr = &net.TCPAddr{IP: c.LocalIP}
 	}
 	return dialer.DialContext(ctx, network, address)
 }
 
-// To returns the connect-go client for calls through the node at an address. It does not
+// CallClient returns the connect-go client for calls through the node at an address. It does not
 // open a connection.
-func (c *Client) To(address string) relaypbconnect.RelayClient {
+func (c *Client) CallClient(address string) relaypbconnect.RelayClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p, ok := c.calls[address]
@@ -119,9 +119,9 @@
 	return p.client
 }
 
-// Control returns the connect-go client for all other requests to the node at an address.
+// ControlClient returns the connect-go client for all other requests to the node at an address.
 // Its connections are not pinged; see Exchange.
-func (c *Client) Control(address string) relaypbconnect.RelayClient {
+func (c *Client) ControlClient(address string) relaypbconnect.RelayClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p, ok := c.control[address]
@@ -135,7 +135,7 @@
 // Exchange swaps membership updates with the node at an address. If it fails, the
 // connection may be silent, so it is dropped and the next exchange opens another one.
 func (c *Client) Exchange(ctx context.Context, address string, request *relaypb.ExchangeRequest) (*relaypb.ExchangeResponse, error) {
-	response, err := c.Control(address).Exchange(ctx, connect.NewRequest(request))
+	response, err := c.ControlClient(address).Exchange(ctx, connect.NewRequest(request))
 	if err != nil {
 		c.Drop(address)
 		return nil, err
