--- a/internal/ahead/ahead.go
+++ b/internal/ahead/ahead.go
@@ -27,8 +27,8 @@
 		Body   []byte
 	}
 
-	// Bounds limit what a caller may send and how long sending may take.
-	Bounds struct {
+	// Limits limit what a caller may send and how long sending may take.
+	Limits struct {
 		HeaderBytes   int64
 		BodyBytes     int64
 		HeaderTimeout time.Duration
@@ -45,8 +45,8 @@
 		Handle func(ctx context.Context, request *http.Request) *Answer
 		// Refuse returns the answer to a request that could not be read.
 		Refuse func(status int, reason string) *Answer
-		// Bounds returns the bounds in force.
-		Bounds func() Bounds
+		// Limits returns the bounds in force.
+		Limits func() Limits
 		Log    hclog.Logger
 
 		noKeepAlive atomic.Bool
@@ -103,19 +103,19 @@
 	}
 }
 
-// Leave closes every connection after the answer to its next request.
-func (s *Server) Leave() {
+// DisableKeepAlives closes every connection after the answer to its next request.
+func (s *Server) DisableKeepAlives() {
 	s.noKeepAlive.Store(true)
 }
 
-// Busy returns the number of requests in flight, including those whose answers are being
+// InFlight returns the number of requests in flight, including those whose answers are being
 // written.
-func (s *Server) Busy() int {
+func (s *Server) InFlight() int {
 	return int(s.inFlight.Load())
 }
 
-// Taken returns how many requests have been read so far.
-func (s *Server) Taken() int64 {
+// RequestsRead returns how many requests have been read so far.
+func (s *Server) RequestsRead() int64 {
 	return s.requestsRead.Load()
 }
 
@@ -132,7 +132,7 @@
 // been answered or the context ends.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.closeListener()
-	for s.Busy() > 0 && ctx.Err() == nil {
+	for s.InFlight() > 0 && ctx.Err() == nil {
 		time.Sleep(shutdownPoll)
 	}
 	s.Close()
--- a/internal/ahead/ahead_test.go
+++ b/internal/ahead/ahead_test.go
@@ -36,7 +36,7 @@
 }
 
 // startServer serves with a handler that echoes method, path and body.
-func startServer(t *testing.T, bounds ahead.Bounds, held ...string) *testServer {
+func startServer(t *testing.T, bounds ahead.Limits, held ...string) *testServer {
 	t.Helper()
 	p := &testServer{holds: map[string]chan struct{}{}, started: make(chan string, 100), cancelled: make(chan string, 100)}
 	for _, path := range held {
@@ -47,7 +47,7 @@
 		Refuse: func(status int, reason string) *ahead.Answer {
 			return &ahead.Answer{Status: status, Header: http.Header{}, Body: []byte(reason)}
 		},
-		Bounds: func() ahead.Bounds { return bounds },
+		Limits: func() ahead.Limits { return bounds },
 		Log:    hclog.NewNullLogger(),
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -115,7 +115,7 @@
 	return "GET " + path + " HTTP/1.1\r\nHost: shop.example\r\n\r\n"
 }
 
-var defaultBounds = ahead.Bounds{HeaderBytes: 4 << 10, BodyBytes: 1 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: 5 * time.Second}
+var defaultBounds = ahead.Limits{HeaderBytes: 4 << 10, BodyBytes: 1 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: 5 * time.Second}
 
 // Safe requests run concurrently, and their answers are sent in the order of the
 // requests.
@@ -181,7 +181,7 @@
 	send(t, conn, get("/before"))
 	response, _ := readAnswer(t, reader)
 	is.True(!response.Close)
-	p.server.Leave()
+	p.server.DisableKeepAlives()
 	send(t, conn, get("/slow")+get("/behind"))
 	p.holds["/slow"] <- struct{}{}
 	response, body := readAnswer(t, reader)
@@ -190,7 +190,7 @@
 	_, err := reader.ReadByte()
 	is.Equal(err, io.EOF)
 	is.Equal(p.runs.Load(), int64(2))
-	for p.server.Busy() > 0 {
+	for p.server.InFlight() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	is.True(!p.server.LastRequest().IsZero())
--- a/internal/ahead/read.go
+++ b/internal/ahead/read.go
@@ -48,7 +48,7 @@
 // readRequest reads the next request including its body. It returns neither a request nor
 // a refusal if the caller closed the connection or the idle timeout passed.
 func (c *conn) readRequest() (*http.Request, *refusal) {
-	bounds := c.server.Bounds()
+	bounds := c.server.Limits()
 	c.input.remaining = unlimited
 	c.limitIdle(bounds.IdleTimeout)
 	if _, err := c.reader.Peek(1); err != nil {
@@ -82,7 +82,7 @@
 
 // readBody reads the whole body into memory, so that the request can be forwarded with a
 // known length.
-func (c *conn) readBody(request *http.Request, bounds Bounds) *refusal {
+func (c *conn) readBody(request *http.Request, bounds Limits) *refusal {
 	if request.ContentLength == 0 {
 		request.Body = http.NoBody
 		return nil
--- a/internal/node/doors.go
+++ b/internal/node/doors.go
@@ -67,9 +67,9 @@
 		Handle: n.adapters.CallerHandler(chain),
 		Refuse: n.adapters.RefuseUnreadable,
 		Log:    n.log.Named("ahead"),
-		Bounds: func() ahead.Bounds {
+		Limits: func() ahead.Limits {
 			limits := n.limits()
-			return ahead.Bounds{
+			return ahead.Limits{
 				HeaderBytes:   limits.MaxHeaderBytes,
 				BodyBytes:     limits.MaxRequestBytes,
 				HeaderTimeout: limits.HeaderTimeout,
--- a/internal/node/leave.go
+++ b/internal/node/leave.go
@@ -48,7 +48,7 @@
 	timeout := time.Duration(n.drainTimeout.Load())
 	end := started.Add(timeout - shutdownMargin)
 	n.leaving.Store(true)
-	n.callers.Leave()
+	n.callers.DisableKeepAlives()
 	n.log.Info("leaving", "node", n.settings.Name)
 	n.local.Leave()
 	n.members.SetSelf(func(self *member.Member) { self.State = member.Leaving })
@@ -142,7 +142,7 @@
 func (n *Node) awaitDrained(within time.Duration) bool {
 	timeout := n.clock.After(within)
 	drained := n.local.Drained()
-	for n.callers.Busy() > 0 || drained != nil {
+	for n.callers.InFlight() > 0 || drained != nil {
 		select {
 		case <-drained:
 			drained = nil
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -184,7 +184,7 @@
 		},
 		Forward:  n.sender.SendElsewhere,
 		Revision: n.config.Number,
-		Requests: func() int64 { return n.callers.Taken() },
+		Requests: func() int64 { return n.callers.RequestsRead() },
 	})
 }
 
