--- a/internal/drill/account_test.go
+++ b/internal/drill/account_test.go
@@ -16,22 +16,24 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// accountScript counts runs that a data file describes.
+// accountScript computes the reports of runs that a data file describes.
 type accountScript struct {
-	config   LoadConfig
-	outcomes []Outcome
-	done     []Executions
+	config     LoadConfig
+	outcomes   []Outcome
+	executions []Executions
 }
 
-// TestAccount runs the scripts. The commands are
+// TestAccount runs the scripts in testdata/account. The commands are
 //
-//	config      the phases and the trigger
-//	outcomes    one request a line: ID KIND PHASE AT TOOK TRY..., where a try is
-//	            the name of a result code, or torn, foreign, timeout; a last try
-//	            of ok or replayed is a good answer. A try is sent with the
-//	            request, or at T in NAME@T
-//	ran         one execution a line: TARGET ATTEMPT KIND ARRIVED RUNS WORK_MS
+//	config      starts a new run; the input is its phases, trigger and other settings
+//	outcomes    adds one request per line: ID KIND PHASE AT TOOK ATTEMPT..., where an
+//	            attempt is the name of a result code, or torn, foreign, timeout. The
+//	            request is good if the last attempt is ok or replayed. An attempt is
+//	            sent at AT, or at time T in the form NAME@T
+//	flow        adds 100 look-ups for each half second: FROM GOOD GOOD ...
+//	ran         adds one execution per line: TARGET ATTEMPT KIND ARRIVED RUNS WORK_MS
 //	report, lines, spells, moments, recovery
+//	            print parts of the report
 func TestAccount(t *testing.T) {
 	datadriven.Walk(t, "testdata/account", func(t *testing.T, path string) {
 		s := &accountScript{}
@@ -44,7 +46,7 @@
 func (s *accountScript) run(t *testing.T, d *datadriven.TestData) string {
 	is := is.New(t)
 	rows := strings.Split(d.Input, "\n")
-	report := Account(s.config, testMesh(), s.outcomes, s.done)
+	report := Account(s.config, testMesh(), s.outcomes, s.executions)
 	var text strings.Builder
 	switch d.Cmd {
 	case "config":
@@ -61,27 +63,27 @@
 			s.ran(is, row)
 		}
 	case "report":
-		report.Lines, report.Spells, report.Moments = nil, nil, nil
+		report.Lines, report.Windows, report.TimeSlices = nil, nil, nil
 		body, err := json.MarshalIndent(report, "", "  ")
 		is.NoErr(err)
 		text.Write(body)
 		text.WriteString("\n")
 	case "recovery":
-		fmt.Fprintln(&text, report.recovery())
+		fmt.Fprintln(&text, report.formatRecovery())
 	case "moments":
-		for _, moment := range report.Moments {
-			fmt.Fprintf(&text, "%.1f s: %d offered, %d good, %d attempts\n", moment.AtS, moment.Offered, moment.Good, moment.Attempts)
+		for _, slice := range report.TimeSlices {
+			fmt.Fprintf(&text, "%.1f s: %d offered, %d good, %d attempts\n", slice.AtS, slice.Offered, slice.Good, slice.Attempts)
 		}
 	case "lines":
 		for _, line := range report.Lines {
 			fmt.Fprintf(&text, "%+v\n", line)
 		}
 	case "spells":
-		for _, spell := range report.Spells {
+		for _, window := range report.Windows {
 			fmt.Fprintf(&text, "%s: %d answered, %d of %d, critical %d of %d, bottleneck %s\n",
-				spell.Name, spell.Answered, spell.Good, spell.Offered, spell.CriticalGood, spell.CriticalOffered, spell.tightest())
-			for _, service := range slices.Sorted(maps.Keys(spell.Useful)) {
-				fmt.Fprintf(&text, "  %s %.2f a second\n", service, spell.Useful[service])
+				window.Name, window.Answered, window.Good, window.Offered, window.CriticalGood, window.CriticalOffered, window.formatBottleneck())
+			for _, service := range slices.Sorted(maps.Keys(window.Useful)) {
+				fmt.Fprintf(&text, "  %s %.2f a second\n", service, window.Useful[service])
 			}
 		}
 	default:
@@ -90,8 +92,8 @@
 	return text.String()
 }
 
-// flow makes 100 look-ups in each half second from a row "FROM GOOD GOOD ...",
-// of which so many are good.
+// flow adds 100 look-ups for each half second from FROM on, from rows of the form "FROM
+// GOOD GOOD ...". GOOD is the number of good ones in one half second.
 func (s *accountScript) flow(is *is.I, rows []string) {
 	const each = 100
 	for _, row := range rows {
@@ -116,11 +118,11 @@
 	var execution Execution
 	_, err := fmt.Sscan(row, &target, &attempt, &execution.Kind, &execution.Arrived, &execution.Runs, &execution.WorkMS)
 	is.NoErr(err)
-	for len(s.done) <= target {
-		s.done = append(s.done, Executions{ByRequest: map[string][]Execution{}})
+	for len(s.executions) <= target {
+		s.executions = append(s.executions, Executions{ByRequest: map[string][]Execution{}})
 	}
-	list := s.done[target].ByRequest[attempt]
-	s.done[target].ByRequest[attempt] = addExecution(list, execution)
+	list := s.executions[target].ByRequest[attempt]
+	s.executions[target].ByRequest[attempt] = addExecution(list, execution)
 }
 
 func readOutcome(is *is.I, fields []string) Outcome {
@@ -130,21 +132,21 @@
 	is.NoErr(err)
 	outcome := Outcome{ID: fields[0], Kind: fields[1], Phase: fields[2], At: at, Took: took}
 	for _, name := range fields[5:] {
-		name, sent, late := strings.Cut(name, "@")
-		try := Try{Result: name, At: at, Torn: name == "torn", Foreign: name == "foreign"}
-		if late {
-			try.At, err = time.ParseDuration(sent)
+		name, sentAt, delayed := strings.Cut(name, "@")
+		attempt := Attempt{Result: name, SentAt: at, Torn: name == "torn", Foreign: name == "foreign"}
+		if delayed {
+			attempt.SentAt, err = time.ParseDuration(sentAt)
 			is.NoErr(err)
 		}
 		if code, ok := result.Parse(name); ok {
 			info, _ := code.Info()
-			try.Code, try.Status = int(code), info.Status
+			attempt.Code, attempt.Status = int(code), info.Status
 		}
-		if try.Torn || try.Foreign {
-			try.Status = statusOK
+		if attempt.Torn || attempt.Foreign {
+			attempt.Status = statusOK
 		}
-		outcome.Tries = append(outcome.Tries, try)
-		outcome.Good = try.good()
+		outcome.Attempts = append(outcome.Attempts, attempt)
+		outcome.Good = attempt.good()
 	}
 	return outcome
 }
--- a/internal/drill/added.go
+++ b/internal/drill/added.go
@@ -13,33 +13,33 @@
 	"github.com/dandelionfield/dandelionfield/internal/clock"
 )
 
-// idleTime is how long the processes are watched while they are idle.
-const idleTime = 3 * time.Second
+// idlePeriod is how long the processor time of the idle processes is measured.
+const idlePeriod = 3 * time.Second
 
 type (
-	// Added measures the time that a mesh adds to a call: it alternates direct
-	// and relayed calls in one run, since on a busy host the direct time alone
-	// moves more between runs than the mesh adds.
-	Added struct {
+	// AddedLatency measures the time that a mesh adds to a call. It alternates direct
+	// and relayed calls in one run, since on a busy host the direct time varies more
+	// between runs than the mesh adds.
+	AddedLatency struct {
 		Entry  string
 		Target string
 		Path   string
 		Pairs  int
-		// Workers is how many pairs are under way at once.
+		// Workers is the number of pairs in flight at once.
 		Workers int
-		// Gap is the pause of a worker between two pairs.
-		Gap time.Duration
-		// Processes holds the ids of the mesh's processes, whose processor
-		// time is reported per relayed call.
+		// Pause is the time that a worker waits between two pairs.
+		Pause time.Duration
+		// Processes holds the process IDs of the mesh, whose processor time is reported
+		// per relayed call.
 		Processes []int
 		Clock     clock.Clock
 	}
 
-	// AddedReport is what the pairs showed. Times are in milliseconds.
-	AddedReport struct {
+	// AddedLatencyReport holds the results of the pairs. Times are in milliseconds.
+	AddedLatencyReport struct {
 		Pairs  int `json:"pairs"`
 		Failed int `json:"failed"`
-		// DirectP50MS and DirectP99MS are the control.
+		// DirectP50MS and DirectP99MS are the baseline: calls without the mesh.
 		DirectP50MS  float64 `json:"direct_p50_ms"`
 		DirectP99MS  float64 `json:"direct_p99_ms"`
 		RelayedP50MS float64 `json:"relayed_p50_ms"`
@@ -47,75 +47,75 @@
 		// AddedP50MS and AddedP99MS are quantiles of the difference in each pair.
 		AddedP50MS float64 `json:"added_p50_ms"`
 		AddedP99MS float64 `json:"added_p99_ms"`
-		// ProcessorMS is processor time per relayed call, less what the
-		// processes use while they are idle.
+		// ProcessorMS is the processor time per relayed call, minus what the processes
+		// use while they are idle.
 		ProcessorMS float64 `json:"processor_ms"`
-		// IdleMS is the processor time that they use in an idle second.
+		// IdleMS is the processor time that the processes use per idle second.
 		IdleMS float64 `json:"idle_ms"`
 	}
 
-	pair struct {
+	latencyPair struct {
 		direct  time.Duration
 		relayed time.Duration
 		failed  bool
 	}
 )
 
-// Run makes the pairs and reports them. It fails when the context ends first,
-// or one of the processes.
-func (a *Added) Run(ctx context.Context) (AddedReport, error) {
-	idle, err := a.idleShare()
+// Run makes the pairs and reports them. It fails when the context ends first, or when
+// one of the processes has ended.
+func (a *AddedLatency) Run(ctx context.Context) (AddedLatencyReport, error) {
+	idle, err := a.idleUsage()
 	if err != nil {
-		return AddedReport{}, err
+		return AddedLatencyReport{}, err
 	}
 	before, err := processorTime(a.Processes)
 	if err != nil {
-		return AddedReport{}, err
+		return AddedLatencyReport{}, err
 	}
-	begun := a.Clock.Now()
-	pairs := a.pairs(ctx)
+	start := a.Clock.Now()
+	pairs := a.measurePairs(ctx)
 	after, err := processorTime(a.Processes)
 	if err != nil {
-		return AddedReport{}, err
+		return AddedLatencyReport{}, err
 	}
 	if ctx.Err() != nil {
-		return AddedReport{}, badTrace.New("stopped after %d of %d pairs", len(pairs), a.Pairs)
+		return AddedLatencyReport{}, badTraceError.New("stopped after %d of %d pairs", len(pairs), a.Pairs)
 	}
-	report := summarise(pairs)
+	report := summarisePairs(pairs)
 	report.IdleMS = idle * 1000
 	if len(pairs) > 0 {
-		used := (after - before).Seconds() - idle*a.Clock.Now().Sub(begun).Seconds()
+		used := (after - before).Seconds() - idle*a.Clock.Now().Sub(start).Seconds()
 		report.ProcessorMS = used * 1000 / float64(len(pairs))
 	}
 	return report, nil
 }
 
-// idleShare returns the processor time that the processes use while they are
-// idle, as a share of the time.
-func (a *Added) idleShare() (float64, error) {
+// idleUsage returns the processor time that the processes use while they are idle, as a
+// share of one core.
+func (a *AddedLatency) idleUsage() (float64, error) {
 	before, err := processorTime(a.Processes)
 	if err != nil {
 		return 0, err
 	}
-	<-a.Clock.After(idleTime)
+	<-a.Clock.After(idlePeriod)
 	after, err := processorTime(a.Processes)
-	return float64(after-before) / float64(idleTime), err
+	return float64(after-before) / float64(idlePeriod), err
 }
 
-// pairs makes the pairs by the workers, until the context ends.
-func (a *Added) pairs(ctx context.Context) []pair {
+// measurePairs makes the pairs with concurrent workers, until the context ends.
+func (a *AddedLatency) measurePairs(ctx context.Context) []latencyPair {
 	client := newClient(a.Workers)
 	var mu sync.Mutex
-	var pairs []pair
+	var pairs []latencyPair
 	var workers sync.WaitGroup
 	for worker := range a.Workers {
 		workers.Go(func() {
 			for i := worker; i < a.Pairs && ctx.Err() == nil; i += a.Workers {
-				one := a.pair(ctx, client, i)
+				p := a.measurePair(ctx, client, i)
 				mu.Lock()
-				pairs = append(pairs, one)
+				pairs = append(pairs, p)
 				mu.Unlock()
-				<-a.Clock.After(a.Gap)
+				<-a.Clock.After(a.Pause)
 			}
 		})
 	}
@@ -123,30 +123,30 @@
 	return pairs
 }
 
-// pair makes a direct and a relayed call, in turns the one first or the other.
-func (a *Added) pair(ctx context.Context, client *http.Client, index int) pair {
-	var one pair
-	var first, second error
+// measurePair makes a direct and a relayed call. The order alternates from pair to pair.
+func (a *AddedLatency) measurePair(ctx context.Context, client *http.Client, index int) latencyPair {
+	var p latencyPair
+	var firstErr, secondErr error
 	attempt := "added-" + strconv.Itoa(index) + ".1"
 	if index%2 == 0 {
-		one.direct, first = a.call(ctx, client, a.Target, attempt)
-		one.relayed, second = a.call(ctx, client, a.Entry, attempt)
+		p.direct, firstErr = a.timeCall(ctx, client, a.Target, attempt)
+		p.relayed, secondErr = a.timeCall(ctx, client, a.Entry, attempt)
 	} else {
-		one.relayed, first = a.call(ctx, client, a.Entry, attempt)
-		one.direct, second = a.call(ctx, client, a.Target, attempt)
+		p.relayed, firstErr = a.timeCall(ctx, client, a.Entry, attempt)
+		p.direct, secondErr = a.timeCall(ctx, client, a.Target, attempt)
 	}
-	one.failed = first != nil || second != nil
-	return one
+	p.failed = firstErr != nil || secondErr != nil
+	return p
 }
 
-func (a *Added) call(ctx context.Context, client *http.Client, address, attempt string) (time.Duration, error) {
-	url := "http://" + address + fillPath(a.Path, baseRequest(attempt))
+func (a *AddedLatency) timeCall(ctx context.Context, client *http.Client, address, attempt string) (time.Duration, error) {
+	url := "http://" + address + fillPath(a.Path, requestID(attempt))
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0, err
 	}
 	request.Header.Set(RequestHeader, attempt)
-	begun := a.Clock.Now()
+	start := a.Clock.Now()
 	answer, err := client.Do(request)
 	if err != nil {
 		return 0, err
@@ -158,11 +158,11 @@
 	if answer.StatusCode != http.StatusOK {
 		return 0, callError.New("%s answered %s", address, answer.Status)
 	}
-	return a.Clock.Now().Sub(begun), nil
+	return a.Clock.Now().Sub(start), nil
 }
 
-// Print writes the report for people.
-func (r AddedReport) Print(w io.Writer) {
+// Print writes the report as text.
+func (r AddedLatencyReport) Print(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "pairs: %d, failed: %d\n", r.Pairs, r.Failed)
 	_, _ = fmt.Fprintf(w, "direct:  p50 %.3f ms, p99 %.3f ms\n", r.DirectP50MS, r.DirectP99MS)
 	_, _ = fmt.Fprintf(w, "relayed: p50 %.3f ms, p99 %.3f ms\n", r.RelayedP50MS, r.RelayedP99MS)
@@ -171,27 +171,27 @@
 		r.ProcessorMS, r.IdleMS)
 }
 
-func summarise(pairs []pair) AddedReport {
-	report := AddedReport{Pairs: len(pairs)}
+func summarisePairs(pairs []latencyPair) AddedLatencyReport {
+	report := AddedLatencyReport{Pairs: len(pairs)}
 	var direct, relayed, added []time.Duration
-	for _, one := range pairs {
-		if one.failed {
+	for _, p := range pairs {
+		if p.failed {
 			report.Failed++
 			continue
 		}
-		direct = append(direct, one.direct)
-		relayed = append(relayed, one.relayed)
-		added = append(added, one.relayed-one.direct)
+		direct = append(direct, p.direct)
+		relayed = append(relayed, p.relayed)
+		added = append(added, p.relayed-p.direct)
 	}
-	report.DirectP50MS, report.DirectP99MS = quantile(direct, 0.5), quantile(direct, 0.99)
-	report.RelayedP50MS, report.RelayedP99MS = quantile(relayed, 0.5), quantile(relayed, 0.99)
-	report.AddedP50MS, report.AddedP99MS = quantile(added, 0.5), quantile(added, 0.99)
+	report.DirectP50MS, report.DirectP99MS = quantileMS(direct, 0.5), quantileMS(direct, 0.99)
+	report.RelayedP50MS, report.RelayedP99MS = quantileMS(relayed, 0.5), quantileMS(relayed, 0.99)
+	report.AddedP50MS, report.AddedP99MS = quantileMS(added, 0.5), quantileMS(added, 0.99)
 	return report
 }
 
-// quantile returns a quantile in milliseconds. Differences may be negative,
-// which a histogram of the usual kind cannot hold, so the values are sorted.
-func quantile(values []time.Duration, q float64) float64 {
+// quantileMS returns a quantile in milliseconds and sorts the values in place. It uses
+// no HDR histogram, since that cannot hold negative differences.
+func quantileMS(values []time.Duration, q float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
--- a/internal/drill/added_test.go
+++ b/internal/drill/added_test.go
@@ -13,14 +13,14 @@
 
 func TestAddedIsTheDifferenceInEachPair(t *testing.T) {
 	is := is.New(t)
-	pairs := make([]pair, 0, 101)
-	// The direct time swings between 10 and 109 ms; the mesh adds 2 ms each time.
+	pairs := make([]latencyPair, 0, 101)
+	// The direct time varies between 10 and 109 ms; the mesh always adds 2 ms.
 	for i := range 100 {
 		direct := time.Duration(10+i) * time.Millisecond
-		pairs = append(pairs, pair{direct: direct, relayed: direct + 2*time.Millisecond})
+		pairs = append(pairs, latencyPair{direct: direct, relayed: direct + 2*time.Millisecond})
 	}
-	pairs = append(pairs, pair{direct: time.Hour, failed: true})
-	report := summarise(pairs)
+	pairs = append(pairs, latencyPair{direct: time.Hour, failed: true})
+	report := summarisePairs(pairs)
 	is.Equal(report.Failed, 1)
 	is.Equal(report.AddedP50MS, 2.0)
 	is.Equal(report.AddedP99MS, 2.0)
@@ -37,7 +37,7 @@
 		t.Cleanup(server.Close)
 		return server
 	}
-	added := Added{
+	added := AddedLatency{
 		Entry:   strings.TrimPrefix(serve("relayed").URL, "http://"),
 		Target:  strings.TrimPrefix(serve("direct").URL, "http://"),
 		Path:    "/stock/{item}",
@@ -51,12 +51,12 @@
 	is.Equal(order, []string{"direct", "relayed", "relayed", "direct"})
 	added.Processes = []int{-1}
 	_, err = added.Run(testContext(t))
-	is.True(err != nil) // the processor time of a node that is gone is not known
+	is.True(err != nil) // the processor time of a process that has ended was reported
 	added.Processes = nil
 	stopped, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err = added.Run(stopped)
-	is.True(err != nil) // a part of the pairs is no report
+	is.True(err != nil) // an incomplete run gave a report
 }
 
 func TestProcessorTime(t *testing.T) {
--- a/internal/drill/answer.go
+++ b/internal/drill/answer.go
@@ -8,48 +8,49 @@
 )
 
 type (
-	// Execution is what one attempt of a request made a target do in one kind.
+	// Execution counts what one attempt of a request caused at a target for one kind.
 	Execution struct {
 		Kind string `json:"kind"`
-		// Arrived counts the calls that reached the target, also shed ones.
+		// Arrived counts the calls that reached the target, including those that it shed.
 		Arrived int `json:"arrived"`
-		// Runs counts the calls whose work began.
+		// Runs counts the calls whose work started.
 		Runs   int   `json:"runs"`
 		WorkMS int64 `json:"work_ms"`
 	}
 
-	// Executions is every execution at one target, by the value of
-	// RequestHeader and by idempotency key.
+	// Executions holds every execution at one target, by the value of RequestHeader
+	// and by idempotency key.
 	Executions struct {
 		ByRequest map[string][]Execution `json:"by_request"`
 		ByKey     map[string][]Execution `json:"by_key"`
 	}
 
-	// Answer is the body of a whole answer.
+	// Answer is the body of a successful answer.
 	Answer struct {
 		Request string `json:"request"`
 		Kind    string `json:"kind"`
 		Target  string `json:"target"`
 		Payload string `json:"payload"`
-		// Checksum is over all other fields.
+		// Checksum covers all other fields.
 		Checksum string `json:"checksum"`
 	}
 )
 
-// NewAnswer returns a whole answer to the attempt.
+// NewAnswer returns an answer to the attempt, with a payload of at least payloadBytes
+// bytes and a valid checksum.
 func NewAnswer(attempt, kind, target string, payloadBytes int) Answer {
 	answer := Answer{Request: attempt, Kind: kind, Target: target}
 	answer.Payload = strings.Repeat(kind+" ", payloadBytes/(len(kind)+1)+1)
-	answer.Checksum = answer.sum()
+	answer.Checksum = answer.checksum()
 	return answer
 }
 
-// Whole reports whether the answer is complete and unchanged.
-func (a Answer) Whole() bool {
-	return a.Checksum == a.sum()
+// Intact reports whether the checksum matches the other fields.
+func (a Answer) Intact() bool {
+	return a.Checksum == a.checksum()
 }
 
-func (a Answer) sum() string {
+func (a Answer) checksum() string {
 	text := strings.Join([]string{a.Request, a.Kind, a.Target, a.Payload}, "\n")
 	return strconv.FormatUint(xxhash.Sum64String(text), 16)
 }
--- a/internal/drill/attempt.go
+++ b/internal/drill/attempt.go
@@ -19,69 +19,70 @@
 
 const (
 	statusOK = http.StatusOK
-	// longestAnswer bounds what a caller reads of an answer.
-	longestAnswer = 4 << 20
+	// maxAnswerBytes limits how much of an answer a caller reads.
+	maxAnswerBytes = 4 << 20
 )
 
-// try sends one attempt of a caller and judges what came back.
-func (l *Load) try(ctx context.Context, kind *schema.Kind, entry, attempt, key string, fresh bool) Try {
+// sendAttempt sends one attempt of a caller and checks the answer. An answer that breaks
+// off before the time-out is checked without its body, so that a success counts as torn.
+func (l *Load) sendAttempt(ctx context.Context, kind *schema.Kind, entry, attempt, key string, fresh bool) Attempt {
 	timeout := time.Duration(l.Config.Callers.TimeoutShare * float64(kind.Deadline))
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := newAttempt(ctx, kind, entry, attempt, key)
 	if err != nil {
-		return Try{Result: "bad_request"}
+		return Attempt{Result: "bad_request"}
 	}
 	if key != "" && fresh {
 		request.Header.Set(freshHeader, "true")
 	}
 	answer, err := l.client.Do(request)
 	if err != nil {
-		return Try{Result: faultName(err)}
+		return Attempt{Result: errorResult(err)}
 	}
 	defer answer.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, longestAnswer))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
 	if err != nil && !errors.Is(err, context.DeadlineExceeded) {
-		return Check(answer.StatusCode, answer.Header, nil, kind.Name, attempt)
+		return CheckAnswer(answer.StatusCode, answer.Header, nil, kind.Name, attempt)
 	}
 	if err != nil {
-		return Try{Result: faultName(err)}
+		return Attempt{Result: errorResult(err)}
 	}
-	return Check(answer.StatusCode, answer.Header, body, kind.Name, attempt)
+	return CheckAnswer(answer.StatusCode, answer.Header, body, kind.Name, attempt)
 }
 
-// Check judges one answer: its code, and for a success whether the body is
-// whole and belongs to the request. A replayed answer names the attempt that
-// ran, so only the requests are compared.
-func Check(status int, header http.Header, body []byte, kind, attempt string) Try {
-	try := Try{Status: status, Result: header.Get(resultHeader)}
-	try.Code, _ = strconv.Atoi(header.Get(codeHeader))
+// CheckAnswer checks one answer: it reads the result code and, for a success, verifies
+// that the body is intact and belongs to the request. A replayed answer names the attempt
+// that ran, so only the request IDs are compared.
+func CheckAnswer(status int, header http.Header, body []byte, kind, id string) Attempt {
+	attempt := Attempt{Status: status, Result: header.Get(resultHeader)}
+	attempt.Code, _ = strconv.Atoi(header.Get(codeHeader))
 	if seconds, err := strconv.Atoi(header.Get("Retry-After")); err == nil {
-		try.RetryAfter = time.Duration(seconds) * time.Second
+		attempt.RetryAfter = time.Duration(seconds) * time.Second
 	}
-	if try.Result == "" {
-		try.Result = "http_" + strconv.Itoa(status)
+	if attempt.Result == "" {
+		attempt.Result = "http_" + strconv.Itoa(status)
 	}
 	if status != statusOK {
-		return try
+		return attempt
 	}
 	var answer Answer
-	if err := json.Unmarshal(body, &answer); err != nil || !answer.Whole() {
-		try.Torn = true
-		try.Result = "torn"
-		return try
+	if err := json.Unmarshal(body, &answer); err != nil || !answer.Intact() {
+		attempt.Torn = true
+		attempt.Result = "torn"
+		return attempt
 	}
-	if answer.Kind != kind || baseRequest(answer.Request) != baseRequest(attempt) {
-		try.Foreign = true
-		try.Result = "foreign"
+	if answer.Kind != kind || requestID(answer.Request) != requestID(id) {
+		attempt.Foreign = true
+		attempt.Result = "foreign"
 	}
-	return try
+	return attempt
 }
 
-// newAttempt builds a request that net/http cannot repeat by itself: with an
-// Idempotency-Key it would do so for a body that it can rewind.
+// newAttempt builds a request whose body net/http cannot rewind, since net/http retries
+// a request with an Idempotency-Key by itself when it can rewind the body.
 func newAttempt(ctx context.Context, kind *schema.Kind, entry, attempt, key string) (*http.Request, error) {
-	url := "http://" + entry + fillPath(kind.Path, baseRequest(attempt))
+	url := "http://" + entry + fillPath(kind.Path, requestID(attempt))
 	if kind.Method == http.MethodGet {
 		request, err := http.NewRequestWithContext(ctx, kind.Method, url, nil)
 		if err != nil {
@@ -90,7 +91,7 @@
 		request.Header.Set(RequestHeader, attempt)
 		return request, nil
 	}
-	body := `{"request":"` + baseRequest(attempt) + `"}`
+	body := `{"request":"` + requestID(attempt) + `"}`
 	request, err := http.NewRequestWithContext(ctx, kind.Method, url, io.NopCloser(strings.NewReader(body)))
 	if err != nil {
 		return nil, err
@@ -104,11 +105,11 @@
 	return request, nil
 }
 
-func attemptName(id string, try int) string {
-	return id + "." + strconv.Itoa(try+1)
+func attemptID(request string, index int) string {
+	return request + "." + strconv.Itoa(index+1)
 }
 
-func mintKey(kind *schema.Kind) string {
+func newKey(kind *schema.Kind) string {
 	if kind.Repeat != schema.Never {
 		return ""
 	}
@@ -119,10 +120,11 @@
 	return key.String()
 }
 
-// wantsNewKey reports whether the answer says that the key cannot run and is
-// known not to have run. A lost owner leaves that open but for a first attempt.
-func wantsNewKey(try Try, index int) bool {
-	switch result.Code(try.Code) {
+// needsNewKey reports whether the answer says that the key can no longer run and the key
+// is known not to have run. When the key's owner is lost, this is known only for a first
+// attempt: an earlier one may have run there.
+func needsNewKey(attempt Attempt, index int) bool {
+	switch result.Code(attempt.Code) {
 	case result.KeyTooOld, result.KeyFromFuture, result.NoOwner:
 		return true
 	case result.OwnerGone, result.OwnerUnclear:
@@ -131,7 +133,7 @@
 	return false
 }
 
-func faultName(err error) string {
+func errorResult(err error) string {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return "timeout"
 	}
--- a/internal/drill/bench_test.go
+++ b/internal/drill/bench_test.go
@@ -12,11 +12,13 @@
 	"github.com/matryer/is"
 )
 
-// TestBench runs the scripts over the reports in testdata/runs. The commands are
+// TestBench runs the scripts in testdata/bench over the reports in testdata/runs. The
+// commands are
 //
-//	spread      the figures of some runs
-//	runs        the reports to read, one a line
+//	spread      prints the spread of the values in the input
+//	runs        reads reports, one path per line
 //	table, kinds, charts
+//	            print the runs
 func TestBench(t *testing.T) {
 	datadriven.Walk(t, "testdata/bench", func(t *testing.T, path string) {
 		var runs []Run[Report]
@@ -44,13 +46,13 @@
 }
 
 func spreadOf(is *is.I, fields []string) string {
-	figures := make([]float64, 0, len(fields))
+	values := make([]float64, 0, len(fields))
 	for _, field := range fields {
-		figure, err := strconv.ParseFloat(field, 64)
+		value, err := strconv.ParseFloat(field, 64)
 		is.NoErr(err)
-		figures = append(figures, figure)
+		values = append(values, value)
 	}
-	return fmt.Sprintf("%+v\n", NewSpread(figures))
+	return fmt.Sprintf("%+v\n", NewSpread(values))
 }
 
 func readTestRuns(names []string) []Run[Report] {
@@ -69,9 +71,9 @@
 	printCurves(text, "attempts", chart.Attempts)
 }
 
-func printCurves(text *strings.Builder, figure string, curves []Curve) {
+func printCurves(text *strings.Builder, name string, curves []Curve) {
 	for _, curve := range curves {
-		fmt.Fprintf(text, "%s, %s:", figure, curve.Name)
+		fmt.Fprintf(text, "%s, %s:", name, curve.Name)
 		for _, point := range curve.Points {
 			fmt.Fprintf(text, " %gs=%g(%g..%g)", point.AtS, point.Median, point.Low, point.High)
 		}
@@ -79,8 +81,8 @@
 	}
 }
 
-// TestPictureNamesItsCurves draws the runs and looks for the names of the axes
-// and meshes in the picture's text.
+// TestPictureNamesItsCurves draws a chart and looks for the names of the axes and meshes in
+// the text of the picture.
 func TestPictureNamesItsCurves(t *testing.T) {
 	is := is.New(t)
 	runs := readTestRuns([]string{
@@ -95,7 +97,7 @@
 	picture, err := os.ReadFile(path)
 	is.NoErr(err)
 	for _, want := range []string{"firm-slow", "naive", "dandelionfield", "good answers a second"} {
-		is.True(strings.Contains(string(picture), want)) // the picture bears the name
+		is.True(strings.Contains(string(picture), want)) // the picture lacks the label
 	}
 	is.True(charts[0].Save(filepath.Join(t.TempDir(), "slow.unknown")) != nil)
 }
@@ -103,13 +105,13 @@
 func TestNodeUseIsTheMeanAndTheLargest(t *testing.T) {
 	is := is.New(t)
 	const second = 1_000_000_000
-	before := []usage{{processor: second, peak: 10_000_000}, {processor: 2 * second, peak: 30_000_000}}
-	after := []usage{{processor: 2 * second, peak: 20_000_000}, {processor: 5 * second, peak: 40_000_000}}
-	use := newNodeUse(before, after, 10*second)
-	is.Equal(*use, NodeUse{Nodes: 2, ProcessorPercent: 20, MostProcessorPercent: 30, MemoryMB: 40})
-	is.Equal(newNodeUse(before, nil, 10*second), nil) // a node that is gone has no figure
-	is.Equal(newNodeUse(nil, after, 10*second), nil)
-	is.Equal(newNodeUse(nil, nil, 10*second), nil)
+	before := []processUsage{{processor: second, peak: 10_000_000}, {processor: 2 * second, peak: 30_000_000}}
+	after := []processUsage{{processor: 2 * second, peak: 20_000_000}, {processor: 5 * second, peak: 40_000_000}}
+	usage := newNodeUsage(before, after, 10*second)
+	is.Equal(*usage, NodeUsage{Nodes: 2, ProcessorPercent: 20, MaxProcessorPercent: 30, MemoryMB: 40})
+	is.Equal(newNodeUsage(before, nil, 10*second), nil) // a node that has ended got a value
+	is.Equal(newNodeUsage(nil, after, 10*second), nil)
+	is.Equal(newNodeUsage(nil, nil, 10*second), nil)
 }
 
 func TestUsageOfAProcess(t *testing.T) {
@@ -119,10 +121,10 @@
 	is.Equal(len(list), 1)
 	is.True(list[0].peak > bytesPerMB)
 	_, err = readUsage([]int{os.Getpid(), -1})
-	is.True(err != nil) // one of them is not there
-	peak, alive := parsePeak([]byte("Name:\tnode\nVmHWM:\t     100 kB\nThreads:\t4\n"))
+	is.True(err != nil) // the usage of a missing process was reported
+	peak, found := parsePeak([]byte("Name:\tnode\nVmHWM:\t     100 kB\nThreads:\t4\n"))
 	is.Equal(peak, int64(102400))
-	is.True(alive)
-	_, alive = parsePeak([]byte("Name:\tnode\nState:\tZ (zombie)\n"))
-	is.True(!alive)
+	is.True(found)
+	_, found = parsePeak([]byte("Name:\tnode\nState:\tZ (zombie)\n"))
+	is.True(!found)
 }
--- a/internal/drill/command.go
+++ b/internal/drill/command.go
@@ -19,10 +19,10 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// stopTimeout bounds how long a stand-in finishes its calls when it is stopped.
+// stopTimeout is how long a stand-in that is stopped waits for its calls in flight.
 const stopTimeout = 2 * time.Second
 
-// Command returns the command line of fieldlab.
+// Command returns the root command of fieldlab.
 func Command() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "fieldlab",
@@ -35,8 +35,8 @@
 	return root
 }
 
-// Main runs the command line until it ends or is interrupted, and returns the
-// exit code of the process.
+// Main runs the command line until it ends or the process is interrupted, and returns
+// the exit code of the process.
 func Main() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -102,7 +102,7 @@
 			if err != nil {
 				return err
 			}
-			return serve(command.Context(), config.Listen, &http.Server{Handler: NewNaive(config).Handler(mesh)})
+			return serve(command.Context(), config.Listen, &http.Server{Handler: NewNaiveRelay(config).Handler(mesh)})
 		},
 	}
 	addConfigFlag(command, &path)
@@ -153,7 +153,7 @@
 				layout.Network = network
 			}
 			if fixed > 0 {
-				layout.FixTime(fixed)
+				layout.FixServiceTime(fixed)
 			}
 			layout.Wires = append(layout.Wires, wires...)
 			layout.AllWires = layout.AllWires || allWires
@@ -186,7 +186,8 @@
 	_ = command.MarkFlagRequired("config")
 }
 
-// serve serves until the context ends, then lets calls finish for a moment.
+// serve serves until the context ends, and then waits up to stopTimeout for calls in
+// flight.
 func serve(ctx context.Context, address string, server *http.Server) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/drill/control.go
+++ b/internal/drill/control.go
@@ -8,22 +8,23 @@
 )
 
 type (
-	// Faults are the switches of a target.
+	// Faults are the injected faults of a target.
 	Faults struct {
-		SlowFactor    float64 `json:"slow_factor"`
-		Frozen        bool    `json:"frozen"`
-		Cold          bool    `json:"cold"`
+		SlowFactor float64 `json:"slow_factor"`
+		Frozen     bool    `json:"frozen"`
+		Cold       bool    `json:"cold"`
+		// LyingHealth makes the health check report success in every state.
 		LyingHealth   bool    `json:"lying_health"`
 		FailShare     float64 `json:"fail_share"`
 		Drain         bool    `json:"drain"`
 		TruncateShare float64 `json:"truncate_share"`
 		Down          bool    `json:"down"`
-		// NoShed queues calls without bound and works off every one of them,
-		// also those whose caller has gone.
+		// NoShed queues calls without a limit and processes every one of them, also
+		// those whose caller has disconnected.
 		NoShed bool `json:"no_shed"`
 	}
 
-	// Stats is what a target did since its start.
+	// Stats holds the counters of a target since its start.
 	Stats struct {
 		Executions map[string]int `json:"executions"`
 		Arrived    int            `json:"arrived"`
@@ -32,13 +33,13 @@
 		Cancelled  int            `json:"cancelled"`
 		Failed     int            `json:"failed"`
 		InFlight   int            `json:"in_flight"`
-		// MostWaiting is the longest line of calls that waited for a slot.
-		MostWaiting int   `json:"most_waiting"`
-		WastedMS    int64 `json:"wasted_ms"`
+		// MaxWaiting is the maximum number of calls that waited for a slot at once.
+		MaxWaiting int   `json:"most_waiting"`
+		WastedMS   int64 `json:"wasted_ms"`
 	}
 )
 
-// Control returns the switches and counters alone.
+// Control returns a handler that serves only the faults and counters.
 func (t *Target) Control() http.Handler {
 	mux := http.NewServeMux()
 	t.addControl(mux)
@@ -62,22 +63,22 @@
 	return stats
 }
 
-// Switch sets the faults. A slow factor of 0 means 1.
-func (t *Target) Switch(faults Faults) {
+// SetFaults replaces all faults. A slow factor of 0 means 1.
+func (t *Target) SetFaults(faults Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if faults.SlowFactor <= 0 {
 		faults.SlowFactor = 1
 	}
-	if faults.Frozen && t.thaw == nil {
-		t.thaw = make(chan struct{})
+	if faults.Frozen && t.unfreeze == nil {
+		t.unfreeze = make(chan struct{})
 	}
-	if !faults.Frozen && t.thaw != nil {
-		close(t.thaw)
-		t.thaw = nil
+	if !faults.Frozen && t.unfreeze != nil {
+		close(t.unfreeze)
+		t.unfreeze = nil
 	}
 	if faults.Cold {
-		t.coldAt = t.clock.Now()
+		t.coldSince = t.clock.Now()
 	}
 	t.faults = faults
 }
@@ -88,14 +89,14 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	t.Switch(faults)
+	t.SetFaults(faults)
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (t *Target) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	faults := t.current()
+	faults := t.currentFaults()
 	if !faults.LyingHealth {
-		t.waitThaw()
+		t.waitWhileFrozen()
 	}
 	if !faults.LyingHealth && (faults.Drain || faults.Down) {
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
@@ -106,7 +107,7 @@
 
 func (t *Target) serveExecutions(w http.ResponseWriter, _ *http.Request) {
 	t.mu.Lock()
-	body, err := json.Marshal(t.done)
+	body, err := json.Marshal(t.executions)
 	t.mu.Unlock()
 	writeJSON(w, json.RawMessage(body), err)
 }
--- a/internal/drill/patience.go
+++ b/internal/drill/deadline.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// patience returns how long a target works on a call: until its time has passed
-// or its caller has gone. A target that does not shed learns of neither, as an
-// old server that reads a call and puts it in line.
-func (f Faults) patience(r *http.Request) (context.Context, context.CancelFunc) {
+// workContext returns the context in which a target processes a call. It ends at the
+// call's deadline or when the caller disconnects. With NoShed it ends at neither, as in
+// an old server that reads a call and queues it.
+func (f Faults) workContext(r *http.Request) (context.Context, context.CancelFunc) {
 	if f.NoShed {
 		return context.WithCancel(context.WithoutCancel(r.Context()))
 	}
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -1,21 +1,21 @@
-// Package drill holds what is needed to try a mesh on one host: stand-ins for
-// targets, a naive relay to compare with, and a load tool that checks every
-// answer and counts what ran.
+// Package drill is a test bench for a mesh on one host: stand-ins for targets and the
+// platform, a naive relay as the baseline, and a load generator that checks every answer
+// and counts what the targets ran.
 //
-// A layout file says which hosts a firm has; Write turns it into the settings
-// of every process. Every host has its own address in 127.0.0.0/8.
+// A layout file declares the hosts of a firm, the owner of one mesh. Layout.Write turns
+// it into the settings of every process. Every host has its own address in 127.0.0.0/8.
 //
-// A bench goes this way: NewTrace draws the arrivals, Load sends them and checks
-// the answers, Account counts callers' outcomes against what targets ran, and
-// the Report of each run is read by ReadRuns into tables and Charts.
+// A benchmark has these steps: NewTrace draws the arrivals, Load sends them and checks
+// the answers, Account compares the callers' outcomes with what the targets ran, and
+// ReadRuns reads the Report of each run for tables and Charts.
 package drill
 
 import "strings"
 
-// The headers that the lab reads and sends.
+// The HTTP headers that stand-ins and the load generator read and send.
 const (
-	// RequestHeader names the attempt of a whole request, as "<request>.<attempt>".
-	// Stand-ins copy it to the calls that they make.
+	// RequestHeader identifies one attempt of a caller's request, in the form
+	// "<request>.<attempt>". Stand-ins copy it to the calls that they make.
 	RequestHeader  = "Fieldlab-Request"
 	contextHeader  = "Dandelion-Context"
 	timeLeftHeader = "Dandelion-Time-Left"
@@ -25,22 +25,22 @@
 	freshHeader    = "Dandelion-Key-Fresh"
 )
 
-// unnamed stands in for the name of a request that has none.
-const unnamed = "unnamed"
+// unnamedRequest replaces the ID of a request that has none.
+const unnamedRequest = "unnamed"
 
-// baseRequest cuts the attempt from the value of RequestHeader, so that
-// "7-12.2" becomes "7-12".
-func baseRequest(attempt string) string {
+// requestID returns the part of an attempt ID that identifies the request: "7-12" for
+// "7-12.2".
+func requestID(attempt string) string {
 	base, _, _ := strings.Cut(attempt, ".")
 	return base
 }
 
-// fillPath puts the request's name in place of every variable of a path, so
-// that "/stock/{item}" becomes "/stock/7-12". A request without a name, from
-// another tool than the lab's, asks for "unnamed".
+// fillPath replaces every variable of a path with the request's ID, so that
+// "/stock/{item}" becomes "/stock/7-12". A request from another tool has no ID and gets
+// "unnamed".
 func fillPath(path, request string) string {
 	if request == "" {
-		request = unnamed
+		request = unnamedRequest
 	}
 	parts := strings.Split(path, "/")
 	for i, part := range parts {
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -8,27 +8,27 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// stepClock stands still until a test moves it. Every wait is handed to the
-// test, which ends it when it likes.
+// stepClock is a manual clock: it moves only when the test advances it, and the test ends
+// every wait that it receives on waits.
 type stepClock struct {
 	mu    sync.Mutex
 	now   time.Time
-	waits chan wait
+	waits chan pendingWait
 }
 
-type wait struct {
+type pendingWait struct {
 	d    time.Duration
 	done chan time.Time
 }
 
-// instantClock ends every wait at once and moves by its length.
+// instantClock ends every wait at once and advances by its duration.
 type instantClock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
 func newStepClock() *stepClock {
-	return &stepClock{now: time.Unix(1_700_000_000, 0), waits: make(chan wait, 100)}
+	return &stepClock{now: time.Unix(1_700_000_000, 0), waits: make(chan pendingWait, 100)}
 }
 
 func (c *stepClock) Now() time.Time {
@@ -39,7 +39,7 @@
 
 func (c *stepClock) After(d time.Duration) <-chan time.Time {
 	done := make(chan time.Time, 1)
-	c.waits <- wait{d, done}
+	c.waits <- pendingWait{d, done}
 	return done
 }
 
@@ -64,7 +64,8 @@
 	return done
 }
 
-// testMesh has a look-up, and an order that makes it and books a spool.
+// testMesh returns a mesh with a look-up, and an order that calls the look-up and a
+// booking.
 func testMesh() *schema.Set {
 	return &schema.Set{
 		Services: []schema.Service{{Name: "stock", Slots: 4}, {Name: "orders", Slots: 4}, {Name: "lines", Slots: 2}},
--- a/internal/drill/errors.go
+++ b/internal/drill/errors.go
@@ -3,8 +3,8 @@
 import "github.com/joomcode/errorx"
 
 var (
-	namespace = errorx.NewNamespace("drill")
-	badFile   = namespace.NewType("bad_file")
-	badTrace  = namespace.NewType("bad_trace")
-	callError = namespace.NewType("call_failed")
+	namespace     = errorx.NewNamespace("drill")
+	badFileError  = namespace.NewType("bad_file")
+	badTraceError = namespace.NewType("bad_trace")
+	callError     = namespace.NewType("call_failed")
 )
--- a/internal/drill/switch.go
+++ b/internal/drill/faults.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// askTimeout bounds calls to the switches and counters of stand-ins.
-const askTimeout = 5 * time.Second
+// controlTimeout is the time-out of calls to the control addresses of stand-ins.
+const controlTimeout = 5 * time.Second
 
-// switchFaults switches each fault of the trace at its time.
-func (l *Load) switchFaults(ctx context.Context, start time.Time) {
+// injectFaults sets each fault of the trace at its time.
+func (l *Load) injectFaults(ctx context.Context, start time.Time) {
 	faults := slices.Clone(l.Config.Faults)
 	slices.SortStableFunc(faults, func(a, b Fault) int { return int(a.At - b.At) })
 	for _, fault := range faults {
@@ -23,7 +23,7 @@
 			return
 		}
 		for _, address := range l.faultAddresses(fault) {
-			if err := l.post(ctx, address, fault.Switch); err != nil {
+			if err := l.postFaults(ctx, address, fault.Values); err != nil {
 				fmt.Fprintln(os.Stderr, "fieldlab: fault not switched:", err)
 			}
 		}
@@ -48,12 +48,12 @@
 	return addresses
 }
 
-func (l *Load) post(ctx context.Context, address string, values map[string]any) error {
+func (l *Load) postFaults(ctx context.Context, address string, values map[string]any) error {
 	body, err := json.Marshal(values)
 	if err != nil {
-		return badTrace.Wrap(err, "fault")
+		return badTraceError.Wrap(err, "encode fault")
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/-/faults", bytes.NewReader(body))
 	if err != nil {
@@ -70,21 +70,22 @@
 	return nil
 }
 
-// executions asks every target what it ran, and names those that do not answer.
-func (l *Load) executions() (done []Executions, silent []string) {
+// collectExecutions reads the executions of every target, and returns the names of those
+// that could not be read.
+func (l *Load) collectExecutions() (list []Executions, unreachable []string) {
 	for _, target := range l.Config.Targets {
-		executions, err := l.ask(target.Address)
+		executions, err := l.fetchExecutions(target.Address)
 		if err != nil {
-			silent = append(silent, target.Name)
+			unreachable = append(unreachable, target.Name)
 			continue
 		}
-		done = append(done, executions)
+		list = append(list, executions)
 	}
-	return done, silent
+	return list, unreachable
 }
 
-func (l *Load) ask(address string) (Executions, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+func (l *Load) fetchExecutions(address string) (Executions, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/-/executions", nil)
 	if err != nil {
--- a/internal/drill/layout.go
+++ b/internal/drill/layout.go
@@ -14,7 +14,7 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// The ports of a host, counted from the layout's base port.
+// Port offsets of a host, relative to the layout's base port.
 const (
 	callerPort = iota
 	relayPort
@@ -24,43 +24,44 @@
 	controlPort
 	wirePort
 	wireControlPort
-	// platformWirePort is the first of the platform's wires, two for each region.
+	// platformWirePort is the first port of the platform's wires, which take two ports
+	// for each region: one for traffic and one for control.
 	platformWirePort
 )
 
-// platformHost is the last part of the platform stand-in's address.
-const platformHost = 200
+// platformHostNumber is the last octet of the platform stand-in's address.
+const platformHostNumber = 200
 
 type (
-	// Layout says which hosts a firm has and how its stand-ins behave.
+	// Layout declares the hosts of a firm and the behaviour of its stand-ins.
 	Layout struct {
 		Firm string `yaml:"firm"`
-		// Network is the first three parts of the hosts' addresses.
+		// Network is the first three octets of the hosts' addresses.
 		Network     string   `yaml:"network"`
 		BasePort    int      `yaml:"base_port"`
 		Region      string   `yaml:"region"`
 		DataCentres []string `yaml:"data_centres"`
-		// Regions holds the regions of data centres that are not in Region.
+		// Regions maps a data centre to its region where that is not Region.
 		Regions       map[string]string `yaml:"regions"`
 		OperatorToken string            `yaml:"operator_token"`
 		LogLevel      string            `yaml:"log_level"`
 		DrainTimeout  time.Duration     `yaml:"drain_timeout"`
 		MemoryBytes   string            `yaml:"memory_bytes"`
 		Seed          uint64            `yaml:"seed"`
-		// Services holds one entry a service; each has a host in every data centre.
+		// Services has one entry per service; each service has a host in every data centre.
 		Services []LayoutService `yaml:"services"`
-		// CallsAfter names the calls that a kind makes after its own work, by
-		// kind. It makes all others before.
+		// CallsAfter lists, by kind, the calls that a kind makes after its own work.
+		// It makes all other calls before.
 		CallsAfter map[string][]string `yaml:"calls_after"`
-		// Wires names the hosts whose node others reach through a wire. With
-		// AllWires it is every host, and each region reaches the platform
-		// through a wire as well.
+		// Wires names the hosts whose node is reached by other nodes through a wire,
+		// a TCP proxy with fault injection. With AllWires every host has a wire, and
+		// each region reaches the platform through a wire as well.
 		Wires    []string   `yaml:"wires"`
 		AllWires bool       `yaml:"all_wires"`
 		Load     LayoutLoad `yaml:"load"`
 	}
 
-	// LayoutService says how the stand-ins of one service behave.
+	// LayoutService declares the behaviour of the stand-ins of one service.
 	LayoutService struct {
 		Name         string        `yaml:"name"`
 		ServiceTime  time.Duration `yaml:"service_time"`
@@ -71,19 +72,19 @@
 		PayloadBytes int           `yaml:"payload_bytes"`
 	}
 
-	// LayoutLoad holds what the firm's traces share, and the traces by name.
+	// LayoutLoad holds the settings that the firm's traces share, and the traces by name.
 	LayoutLoad struct {
 		Mix     map[string]float64 `yaml:"mix"`
 		Callers Callers            `yaml:"callers"`
 		Traces  map[string]Trace   `yaml:"traces"`
 	}
 
-	// Trace is one course of load and faults.
+	// Trace is a schedule of load and faults.
 	Trace struct {
-		// Callers stands in place of the shared callers when it is given.
+		// Callers overrides the shared callers of the layout when it is set.
 		Callers *Callers `yaml:"callers"`
-		// EntryService names the service whose nodes callers ask; without it
-		// they ask all nodes.
+		// EntryService names the service to whose nodes callers send their requests;
+		// empty means all nodes.
 		EntryService string  `yaml:"entry_service"`
 		Phases       []Phase `yaml:"phases"`
 		Faults       []Fault `yaml:"faults"`
@@ -99,7 +100,7 @@
 		IP         string
 	}
 
-	// nodeSettings is the settings file of a dandelionfield node.
+	// nodeSettings is the content of the settings file of a dandelionfield node.
 	nodeSettings struct {
 		Name            string        `yaml:"name"`
 		DataCentre      string        `yaml:"data_centre"`
@@ -119,7 +120,7 @@
 	}
 )
 
-// ReadLayout reads the file layout.yaml and the directory mesh of a firm.
+// ReadLayout reads layout.yaml and the mesh directory in the directory of a firm.
 func ReadLayout(firm string) (Layout, *schema.Set, error) {
 	var layout Layout
 	if err := ReadYAML(filepath.Join(firm, "layout.yaml"), &layout); err != nil {
@@ -129,22 +130,22 @@
 	return layout, mesh, err
 }
 
-// ReadYAML reads one YAML document and refuses unknown fields.
+// ReadYAML decodes the YAML document in a file and rejects unknown fields.
 func ReadYAML(path string, into any) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return badFile.Wrap(err, "read settings")
+		return badFileError.Wrap(err, "read settings")
 	}
 	decoder := yaml.NewDecoder(bytes.NewReader(text))
 	decoder.KnownFields(true)
 	if err := decoder.Decode(into); err != nil {
-		return badFile.Wrap(err, "%s", path)
+		return badFileError.Wrap(err, "%s", path)
 	}
 	return nil
 }
 
-// Hosts returns the hosts: one for each service in each data centre, each with
-// an address of its own.
+// Hosts returns one host for each service in each data centre, each with its own
+// address.
 func (l *Layout) Hosts() []Host {
 	hosts := make([]Host, 0, len(l.Services)*len(l.DataCentres))
 	for centre, name := range l.DataCentres {
@@ -164,17 +165,17 @@
 // node-*.yaml, target-*.yaml, naive-*.yaml, wire-*.yaml and load-<trace>.yaml.
 func (l *Layout) Write(mesh *schema.Set, meshDir, out string) error {
 	if err := os.MkdirAll(out, 0o755); err != nil {
-		return badFile.Wrap(err, "make directory")
+		return badFileError.Wrap(err, "create settings directory")
 	}
 	for _, host := range l.Hosts() {
-		target, err := l.target(mesh, host)
+		target, err := l.targetConfig(mesh, host)
 		if err != nil {
 			return err
 		}
 		files := map[string]any{
-			"node-":   l.node(host),
+			"node-":   l.nodeSettings(host),
 			"target-": target,
-			"naive-":  l.naive(host, meshDir),
+			"naive-":  l.naiveConfig(host, meshDir),
 		}
 		for prefix, settings := range files {
 			if err := writeYAML(filepath.Join(out, prefix+host.Name+".yaml"), settings); err != nil {
@@ -182,30 +183,30 @@
 			}
 		}
 	}
-	for _, wire := range l.wires() {
+	for _, wire := range l.wireConfigs() {
 		if err := writeYAML(filepath.Join(out, "wire-"+wire.Name+".yaml"), wire); err != nil {
 			return err
 		}
 	}
 	for name := range l.Load.Traces {
-		if err := writeYAML(filepath.Join(out, "load-"+name+".yaml"), l.load(name, mesh, meshDir)); err != nil {
+		if err := writeYAML(filepath.Join(out, "load-"+name+".yaml"), l.loadConfig(name, mesh, meshDir)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// PlatformAddress returns where the stand-in for the platform listens.
+// PlatformAddress returns the listen address of the platform stand-in.
 func (l *Layout) PlatformAddress() string {
-	return l.address(fmt.Sprintf("%s.%d", l.Network, platformHost), platformPort)
+	return l.address(fmt.Sprintf("%s.%d", l.Network, platformHostNumber), platformPort)
 }
 
 func (l *Layout) address(ip string, port int) string {
 	return fmt.Sprintf("%s:%d", ip, l.BasePort+port)
 }
 
-func (l *Layout) node(host Host) nodeSettings {
-	return l.wiredNode(host, nodeSettings{
+func (l *Layout) nodeSettings(host Host) nodeSettings {
+	return l.withWires(host, nodeSettings{
 		Name:            host.Name,
 		DataCentre:      host.DataCentre,
 		Region:          l.region(host),
@@ -222,13 +223,13 @@
 	})
 }
 
-func (l *Layout) target(mesh *schema.Set, host Host) (TargetConfig, error) {
+func (l *Layout) targetConfig(mesh *schema.Set, host Host) (TargetConfig, error) {
 	declared := mesh.Service(host.Service)
 	at := slices.IndexFunc(l.Services, func(s LayoutService) bool { return s.Name == host.Service })
 	if declared == nil {
-		return TargetConfig{}, badFile.New("service %s is not declared", host.Service)
+		return TargetConfig{}, badFileError.New("service %s is not declared", host.Service)
 	}
-	stand := l.Services[at]
+	standIn := l.Services[at]
 	kinds, err := l.targetKinds(mesh, host.Service)
 	return TargetConfig{
 		Name:          host.Name,
@@ -238,15 +239,15 @@
 		NodeAddress:   l.address(host.IP, callerPort),
 		Slots:         declared.Slots,
 		Connections:   declared.Connections,
-		Queue:         stand.Queue,
-		ServiceTime:   stand.ServiceTime,
-		Distribution:  stand.Distribution,
-		Sigma:         stand.Sigma,
+		Queue:         standIn.Queue,
+		ServiceTime:   standIn.ServiceTime,
+		Distribution:  standIn.Distribution,
+		Sigma:         standIn.Sigma,
 		ColdStart:     declared.ColdStart,
-		ColdFactor:    stand.ColdFactor,
+		ColdFactor:    standIn.ColdFactor,
 		ShedStatus:    declared.ShedStatus,
 		Seed:          l.Seed,
-		PayloadBytes:  stand.PayloadBytes,
+		PayloadBytes:  standIn.PayloadBytes,
 		Kinds:         kinds,
 	}, err
 }
@@ -276,22 +277,22 @@
 	return kinds, nil
 }
 
-// calledKinds returns the kinds that a kind calls, those that may repeat first:
-// a target looks up what it needs before it changes anything.
+// calledKinds returns the kinds that a kind calls, sorted so that those that may be
+// repeated come first: a target looks up what it needs before it changes anything.
 func calledKinds(mesh *schema.Set, kind schema.Kind) ([]*schema.Kind, error) {
 	called := make([]*schema.Kind, 0, len(kind.Calls))
 	for _, name := range kind.Calls {
-		one := mesh.Kind(name)
-		if one == nil {
-			return nil, badFile.New("kind %s calls %s, which is not declared", kind.Name, name)
+		callee := mesh.Kind(name)
+		if callee == nil {
+			return nil, badFileError.New("kind %s calls %s, which is not declared", kind.Name, name)
 		}
-		called = append(called, one)
+		called = append(called, callee)
 	}
 	slices.SortStableFunc(called, func(a, b *schema.Kind) int { return cmp.Compare(a.Repeat, b.Repeat) })
 	return called, nil
 }
 
-func (l *Layout) naive(host Host, meshDir string) NaiveConfig {
+func (l *Layout) naiveConfig(host Host, meshDir string) NaiveConfig {
 	targets := map[string][]string{}
 	for _, other := range l.Hosts() {
 		targets[other.Service] = append(targets[other.Service], l.address(other.IP, targetPort))
@@ -304,7 +305,7 @@
 	}
 }
 
-func (l *Layout) load(name string, mesh *schema.Set, meshDir string) LoadConfig {
+func (l *Layout) loadConfig(name string, mesh *schema.Set, meshDir string) LoadConfig {
 	trace := l.Load.Traces[name]
 	config := LoadConfig{
 		Seed:     l.Seed,
@@ -332,15 +333,15 @@
 			Address: l.address(host.IP, controlPort),
 		})
 	}
-	for _, wire := range l.wires() {
+	for _, wire := range l.wireConfigs() {
 		config.Wires = append(config.Wires, LoadTarget{Name: wire.Name, Address: wire.ControlListen})
 	}
 	return config
 }
 
-// entries returns the addresses for callers, at the nodes of one service or at
-// all, ordered so that the next one is in another data centre: a caller that
-// repeats goes there.
+// entries returns the caller addresses of the nodes of one service, or of all nodes
+// when service is empty. Adjacent addresses are in different data centres, so that a
+// caller retries in another data centre.
 func (l *Layout) entries(service string) []string {
 	hosts := l.Hosts()
 	entries := make([]string, 0, len(hosts))
@@ -355,8 +356,8 @@
 	return entries
 }
 
-// capacity returns how many calls a second the slots of a service can work on.
-// Slots that wait for calls of their own are not taken off.
+// capacity returns how many calls per second the slots of a service can process. It
+// ignores the time that slots spend waiting for downstream calls.
 func (l *Layout) capacity(mesh *schema.Set, service LayoutService) float64 {
 	declared := mesh.Service(service.Name)
 	if declared == nil || service.ServiceTime <= 0 {
@@ -365,8 +366,9 @@
 	return float64(declared.Slots*len(l.DataCentres)) / service.ServiceTime.Seconds()
 }
 
-// FixTime gives every stand-in the same fixed service time.
-func (l *Layout) FixTime(d time.Duration) {
+// FixServiceTime sets the same fixed service time for every stand-in and turns cold
+// starts off.
+func (l *Layout) FixServiceTime(d time.Duration) {
 	for i := range l.Services {
 		l.Services[i].ServiceTime = d
 		l.Services[i].Distribution = Fixed
@@ -377,10 +379,10 @@
 func writeYAML(path string, settings any) error {
 	text, err := yaml.Marshal(settings)
 	if err != nil {
-		return badFile.Wrap(err, "write %s", path)
+		return badFileError.Wrap(err, "write %s", path)
 	}
 	if err := os.WriteFile(path, text, 0o644); err != nil {
-		return badFile.Wrap(err, "write settings")
+		return badFileError.Wrap(err, "write settings")
 	}
 	return nil
 }
--- a/internal/drill/layout_test.go
+++ b/internal/drill/layout_test.go
@@ -9,8 +9,9 @@
 	"github.com/dandelionfield/dandelionfield/internal/setup"
 )
 
-// TestLayoutOfExamples checks that a node takes the settings written for it and
-// that no two processes of the two firms share an address.
+// TestLayoutOfExamples checks that a node accepts the settings written for it, that no
+// two processes of the two firms share an address, that adjacent entries are in different
+// data centres, and that the mix has only declared kinds.
 func TestLayoutOfExamples(t *testing.T) {
 	is := is.New(t)
 	taken := map[string]string{}
@@ -32,7 +33,7 @@
 			is.Equal(target.Listen, node.TargetAddress)
 			is.Equal(target.NodeAddress, node.CallerListen)
 			for _, address := range []string{node.CallerListen, node.RelayListen, node.AdminListen, target.Listen, target.ControlListen} {
-				is.Equal(taken[address], "") // a second process listens there
+				is.Equal(taken[address], "") // another process listens on the address
 				taken[address] = host.Name
 			}
 		}
@@ -45,10 +46,10 @@
 			}
 			for i, entry := range load.Entries {
 				next := load.Entries[(i+1)%len(load.Entries)]
-				is.True(centre[entry] != centre[next]) // a caller repeats where its trouble is too
+				is.True(centre[entry] != centre[next]) // a caller would retry in the same data centre
 			}
 			for kind := range load.Mix {
-				is.True(mesh.Kind(kind) != nil) // the mix has a kind that is not declared
+				is.True(mesh.Kind(kind) != nil) // the mix has an undeclared kind
 			}
 		}
 	}
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -16,19 +16,21 @@
 )
 
 const (
-	// maxOpen bounds the requests that the load tool has under way at once.
-	maxOpen = 8000
-	// filesKept is how many open files are left for all but the callers.
-	filesKept = 200
-	// loadBound and kindNotDeclared are the results of attempts that were not sent.
+	// maxOpenRequests limits the requests that the load generator has in flight at once.
+	maxOpenRequests = 8000
+	// reservedFiles is the number of file descriptors reserved for everything but the
+	// callers' connections.
+	reservedFiles = 200
+	// loadBound and kindNotDeclared are the results of attempts that were not sent:
+	// maxOpenRequests were in flight, or the mesh does not declare the kind.
 	loadBound       = "load_bound"
 	kindNotDeclared = "kind_not_declared"
-	// liveEvery is the time between two live lines.
-	liveEvery = time.Second
+	// liveInterval is the time between two lines of live output.
+	liveInterval = time.Second
 )
 
 type (
-	// LoadConfig is the settings of one run of load.
+	// LoadConfig holds the settings of one load run.
 	LoadConfig struct {
 		Seed uint64 `yaml:"seed"`
 		// Mesh is the directory of the firm's declarations.
@@ -43,47 +45,49 @@
 		Faults   []Fault            `yaml:"faults"`
 		Trigger  Trigger            `yaml:"trigger"`
 		Expect   Expect             `yaml:"expect"`
-		// Capacity is how many calls a second each service can work on.
+		// Capacity is how many calls per second each service can process.
 		Capacity map[string]float64 `yaml:"capacity"`
 	}
 
-	// LoadTarget is a target whose switches and counters the load tool uses.
+	// LoadTarget is the control address of a target or a wire, where the load generator
+	// sets faults and reads executions.
 	LoadTarget struct {
 		Name    string `yaml:"name"`
 		Service string `yaml:"service"`
 		Address string `yaml:"address"`
 	}
 
-	// Callers says how callers behave.
+	// Callers holds the behaviour of callers.
 	Callers struct {
-		// Retries is how often a caller repeats after its first attempt.
+		// Retries is the number of attempts that a caller makes after its first.
 		Retries int           `yaml:"retries"`
 		Backoff time.Duration `yaml:"backoff"`
-		// TimeoutShare is how long a caller waits for one attempt, as a share
-		// of the kind's deadline.
+		// TimeoutShare is the time-out of one attempt, as a share of the kind's
+		// deadline.
 		TimeoutShare float64 `yaml:"timeout_share"`
-		// HeedRetryAfter makes callers wait as long as a refusal tells them.
+		// HeedRetryAfter makes callers wait for the Retry-After time of a rejection when
+		// that is longer than Backoff.
 		HeedRetryAfter bool `yaml:"heed_retry_after,omitempty"`
 	}
 
-	// Load runs one trace.
+	// Load sends the requests of one trace and reports the outcome.
 	Load struct {
 		Config LoadConfig
 		Mesh   *schema.Set
 		Clock  clock.Clock
-		// Processes holds the ids of the nodes whose processor time and memory
-		// are reported; none leaves them out of the report.
+		// Processes holds the process IDs of the nodes whose processor time and memory
+		// are reported. When it is empty, the report has no node usage.
 		Processes []int
-		// Live receives a line a second; nil for none.
+		// Live receives one line of live output per second; nil disables it.
 		Live io.Writer
 
-		client *http.Client
-		now    live
-		mu     sync.Mutex
-		kept   []Outcome
+		client   *http.Client
+		counters liveCounters
+		mu       sync.Mutex
+		outcomes []Outcome
 	}
 
-	live struct {
+	liveCounters struct {
 		offered atomic.Int64
 		good    atomic.Int64
 		failed  atomic.Int64
@@ -93,32 +97,32 @@
 	}
 )
 
-// NewLoad returns a run of the settings. It fails when the process may open too
-// few files for the load's connections.
+// NewLoad returns a load run with the given settings. It fails when the limit on open
+// files is too low for the connections of the load.
 func NewLoad(config LoadConfig, mesh *schema.Set, clk clock.Clock) (*Load, error) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return nil, badFile.Wrap(err, "read the limit on open files")
+		return nil, badFileError.Wrap(err, "read the limit on open files (RLIMIT_NOFILE)")
 	}
-	if limit.Cur < maxOpen+filesKept {
-		return nil, badFile.New("the limit on open files is %d, and %d are needed", limit.Cur, maxOpen+filesKept)
+	if limit.Cur < maxOpenRequests+reservedFiles {
+		return nil, badFileError.New("the limit on open files is %d, but %d are needed", limit.Cur, maxOpenRequests+reservedFiles)
 	}
 	if len(config.Entries) == 0 {
-		return nil, badFile.New("no entries")
+		return nil, badFileError.New("no entry addresses are configured")
 	}
-	return &Load{Config: config, Mesh: mesh, Clock: clk, client: newClient(maxOpen / len(config.Entries))}, nil
+	return &Load{Config: config, Mesh: mesh, Clock: clk, client: newClient(maxOpenRequests / len(config.Entries))}, nil
 }
 
-// Run sends the arrivals at their times, whatever becomes of earlier ones, and
-// reports what callers saw and targets ran.
+// Run sends the arrivals at their times, regardless of whether earlier requests have
+// been answered, and reports what callers saw and targets ran.
 func (l *Load) Run(ctx context.Context, arrivals []Arrival) Report {
-	before := l.usage()
+	before := l.readNodeUsage()
 	start := l.Clock.Now()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var side sync.WaitGroup
-	side.Go(func() { l.switchFaults(ctx, start) })
-	side.Go(func() { l.printLive(ctx, start) })
+	var background sync.WaitGroup
+	background.Go(func() { l.injectFaults(ctx, start) })
+	background.Go(func() { l.printLive(ctx, start) })
 	var callers sync.WaitGroup
 	late := make([]time.Duration, 0, len(arrivals))
 	for _, arrival := range arrivals {
@@ -126,33 +130,34 @@
 			break
 		}
 		late = append(late, l.Clock.Now().Sub(start)-arrival.At)
-		l.now.phase.Store(arrival.Phase)
-		l.now.offered.Add(1)
-		if l.now.open.Load() >= maxOpen {
-			l.keep(Outcome{ID: arrival.ID, Kind: arrival.Kind, Phase: arrival.Phase, At: arrival.At,
-				Tries: []Try{{Result: loadBound}}})
+		l.counters.phase.Store(arrival.Phase)
+		l.counters.offered.Add(1)
+		if l.counters.open.Load() >= maxOpenRequests {
+			l.recordOutcome(Outcome{ID: arrival.ID, Kind: arrival.Kind, Phase: arrival.Phase, At: arrival.At,
+				Attempts: []Attempt{{Result: loadBound}}})
 			continue
 		}
-		l.now.open.Add(1)
+		l.counters.open.Add(1)
 		callers.Go(func() {
-			defer l.now.open.Add(-1)
-			l.keep(l.request(ctx, arrival))
+			defer l.counters.open.Add(-1)
+			l.recordOutcome(l.runRequest(ctx, arrival))
 		})
 	}
 	callers.Wait()
-	use := newNodeUse(before, l.usage(), l.Clock.Now().Sub(start))
+	usage := newNodeUsage(before, l.readNodeUsage(), l.Clock.Now().Sub(start))
 	cancel()
-	side.Wait()
-	done, silent := l.executions()
-	report := Account(l.Config, l.Mesh, l.kept, done)
-	report.Silent = silent
-	report.Use = use
-	report.LateP99MS = quantile(late, 0.99)
+	background.Wait()
+	executions, unreachable := l.collectExecutions()
+	report := Account(l.Config, l.Mesh, l.outcomes, executions)
+	report.Unreachable = unreachable
+	report.Usage = usage
+	report.LateP99MS = quantileMS(late, 0.99)
 	return report
 }
 
-// usage reads what the nodes have used, or nothing when one of them is gone.
-func (l *Load) usage() []usage {
+// readNodeUsage reads the resource usage of the nodes. It returns nil when one of them
+// cannot be read.
+func (l *Load) readNodeUsage() []processUsage {
 	list, err := readUsage(l.Processes)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "fieldlab: use of the nodes not measured:", err)
@@ -160,65 +165,65 @@
 	return list
 }
 
-// request plays one caller: it repeats at other entry nodes until it has a
-// good answer or no retry is left. A kind that may never repeat goes out under
-// one idempotency key.
-func (l *Load) request(ctx context.Context, arrival Arrival) Outcome {
+// runRequest acts as one caller: it retries at other entry nodes until it gets a good
+// answer or has no retries left. A kind that may never be repeated is sent with one
+// idempotency key for all attempts, which is replaced only when needsNewKey says so.
+func (l *Load) runRequest(ctx context.Context, arrival Arrival) Outcome {
 	outcome := Outcome{ID: arrival.ID, Kind: arrival.Kind, Phase: arrival.Phase, At: arrival.At}
 	kind := l.Mesh.Kind(arrival.Kind)
 	if kind == nil {
-		outcome.Tries = []Try{{Result: kindNotDeclared}}
+		outcome.Attempts = []Attempt{{Result: kindNotDeclared}}
 		return outcome
 	}
-	begun := l.Clock.Now()
-	key, sent := mintKey(kind), false
-	pause := time.Duration(0)
+	start := l.Clock.Now()
+	key, sent := newKey(kind), false
+	delay := time.Duration(0)
 	for i := 0; i <= l.Config.Callers.Retries; i++ {
-		if i > 0 && !l.sleep(ctx, pause) {
+		if i > 0 && !l.sleep(ctx, delay) {
 			break
 		}
 		entry := l.Config.Entries[(arrival.Entry+i)%len(l.Config.Entries)]
-		at := arrival.At + l.Clock.Now().Sub(begun)
-		try := l.try(ctx, kind, entry, attemptName(arrival.ID, i), key, !sent)
-		try.At = at
-		outcome.Tries = append(outcome.Tries, try)
-		if try.good() {
+		at := arrival.At + l.Clock.Now().Sub(start)
+		attempt := l.sendAttempt(ctx, kind, entry, attemptID(arrival.ID, i), key, !sent)
+		attempt.SentAt = at
+		outcome.Attempts = append(outcome.Attempts, attempt)
+		if attempt.good() {
 			outcome.Good = true
 			break
 		}
-		pause = l.Config.Callers.pause(try)
-		if wantsNewKey(try, i) {
-			key, sent = mintKey(kind), false
+		delay = l.Config.Callers.retryDelay(attempt)
+		if needsNewKey(attempt, i) {
+			key, sent = newKey(kind), false
 			continue
 		}
 		sent = true
 	}
-	outcome.Took = l.Clock.Now().Sub(begun)
+	outcome.Took = l.Clock.Now().Sub(start)
 	return outcome
 }
 
-// pause returns how long a caller waits after a failed attempt.
-func (c Callers) pause(try Try) time.Duration {
+// retryDelay returns the delay before the next attempt after a failed one.
+func (c Callers) retryDelay(attempt Attempt) time.Duration {
 	if !c.HeedRetryAfter {
 		return c.Backoff
 	}
-	return max(c.Backoff, try.RetryAfter)
+	return max(c.Backoff, attempt.RetryAfter)
 }
 
-func (l *Load) keep(outcome Outcome) {
+func (l *Load) recordOutcome(outcome Outcome) {
 	if outcome.Good {
-		l.now.good.Add(1)
+		l.counters.good.Add(1)
 	} else {
-		l.now.failed.Add(1)
+		l.counters.failed.Add(1)
 	}
-	for _, try := range outcome.Tries {
-		if try.notRun() {
-			l.now.refused.Add(1)
+	for _, attempt := range outcome.Attempts {
+		if attempt.toldNotRun() {
+			l.counters.refused.Add(1)
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.kept = append(l.kept, outcome)
+	l.outcomes = append(l.outcomes, outcome)
 }
 
 func (l *Load) sleep(ctx context.Context, d time.Duration) bool {
@@ -238,11 +243,11 @@
 		return
 	}
 	var offered, good, failed, refused int64
-	for l.sleep(ctx, liveEvery) {
-		phase, _ := l.now.phase.Load().(string)
-		o, g, f, r := l.now.offered.Load(), l.now.good.Load(), l.now.failed.Load(), l.now.refused.Load()
+	for l.sleep(ctx, liveInterval) {
+		phase, _ := l.counters.phase.Load().(string)
+		o, g, f, r := l.counters.offered.Load(), l.counters.good.Load(), l.counters.failed.Load(), l.counters.refused.Load()
 		_, _ = fmt.Fprintf(l.Live, "t=%ds phase=%s offered=%d good=%d failed=%d refusals=%d open=%d\n",
-			int(l.Clock.Now().Sub(start).Seconds()), phase, o-offered, g-good, f-failed, r-refused, l.now.open.Load())
+			int(l.Clock.Now().Sub(start).Seconds()), phase, o-offered, g-good, f-failed, r-refused, l.counters.open.Load())
 		offered, good, failed, refused = o, g, f, r
 	}
 }
--- a/internal/drill/load_test.go
+++ b/internal/drill/load_test.go
@@ -17,17 +17,17 @@
 	"github.com/dandelionfield/dandelionfield/internal/clock"
 )
 
-// fakeEntry stands for an entry node: it answers each attempt by a function
-// and keeps the keys that it saw.
-type fakeEntry struct {
+// fakeNode is a fake entry node. It answers each attempt with a function and records the
+// idempotency keys that it receives.
+type fakeNode struct {
 	mu    sync.Mutex
 	keys  []string
 	fresh []string
 	*httptest.Server
 }
 
-func newEntry(t *testing.T, answer func(w http.ResponseWriter, attempt string)) *fakeEntry {
-	entry := &fakeEntry{}
+func newFakeNode(t *testing.T, answer func(w http.ResponseWriter, attempt string)) *fakeNode {
+	entry := &fakeNode{}
 	entry.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		entry.mu.Lock()
 		entry.keys = append(entry.keys, r.Header.Get(keyHeader))
@@ -53,7 +53,7 @@
 	}
 }
 
-func testLoad(t *testing.T, clk clock.Clock, entries ...*fakeEntry) *Load {
+func testLoad(t *testing.T, clk clock.Clock, entries ...*fakeNode) *Load {
 	config := LoadConfig{Callers: Callers{Retries: 2, TimeoutShare: 1}}
 	for _, entry := range entries {
 		config.Entries = append(config.Entries, strings.TrimPrefix(entry.URL, "http://"))
@@ -65,19 +65,19 @@
 
 func TestCallerRepeatsElsewhereWithItsKey(t *testing.T) {
 	is := is.New(t)
-	first := newEntry(t, refuseWith("200", "overloaded", 503))
-	second := newEntry(t, answerWith("order"))
+	first := newFakeNode(t, refuseWith("200", "overloaded", 503))
+	second := newFakeNode(t, answerWith("order"))
 	load := testLoad(t, &instantClock{}, first, second)
 	load.Config.Callers.Backoff = 200 * time.Millisecond
-	outcome := load.request(testContext(t), Arrival{ID: "1-1", Kind: "order"})
+	outcome := load.runRequest(testContext(t), Arrival{ID: "1-1", Kind: "order"})
 	is.True(outcome.Good)
-	is.Equal(outcome.Tries[1].At, 200*time.Millisecond)
-	is.Equal(len(outcome.Tries), 2)
-	is.Equal(outcome.Tries[0], Try{Result: "overloaded", Code: 200, Status: 503})
+	is.Equal(outcome.Attempts[1].SentAt, 200*time.Millisecond)
+	is.Equal(len(outcome.Attempts), 2)
+	is.Equal(outcome.Attempts[0], Attempt{Result: "overloaded", Code: 200, Status: 503})
 	is.True(first.keys[0] != "")
 	is.Equal(first.keys[0], second.keys[0])
 	is.Equal(first.fresh[0], "true")
-	is.Equal(second.fresh[0], "") // the key was sent before
+	is.Equal(second.fresh[0], "") // the key was marked as fresh though it had been sent
 }
 
 func TestCallerMintsANewKeyOnlyWhenTheOldCannotRun(t *testing.T) {
@@ -95,19 +95,19 @@
 		{"308", "forgotten", 409, false},
 	} {
 		is := is.New(t)
-		first := newEntry(t, refuseWith(test.code, test.name, test.status))
-		second := newEntry(t, answerWith("order"))
+		first := newFakeNode(t, refuseWith(test.code, test.name, test.status))
+		second := newFakeNode(t, answerWith("order"))
 		load := testLoad(t, &instantClock{}, first, second)
-		is.True(load.request(testContext(t), Arrival{ID: "1-1", Kind: "order"}).Good)
-		is.Equal(first.keys[0] != second.keys[0], test.fresh) // whether the key is another
+		is.True(load.runRequest(testContext(t), Arrival{ID: "1-1", Kind: "order"}).Good)
+		is.Equal(first.keys[0] != second.keys[0], test.fresh) // the key was replaced, or kept, wrongly
 		is.Equal(second.fresh[0] == "true", test.fresh)
 	}
-	is.New(t).True(!wantsNewKey(Try{Code: 305}, 1)) // the first attempt may have run at the lost owner
+	is.New(t).True(!needsNewKey(Attempt{Code: 305}, 1)) // an earlier attempt may have run at the lost owner
 }
 
 func TestCallerSeesTornAndForeignAnswers(t *testing.T) {
 	is := is.New(t)
-	half := newEntry(t, func(w http.ResponseWriter, attempt string) {
+	half := newFakeNode(t, func(w http.ResponseWriter, attempt string) {
 		body, err := json.Marshal(NewAnswer(attempt, "look", "t", 100))
 		is.NoErr(err)
 		w.Header().Set("Content-Length", "200")
@@ -115,30 +115,32 @@
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	})
-	changed := newEntry(t, func(w http.ResponseWriter, attempt string) {
+	changed := newFakeNode(t, func(w http.ResponseWriter, attempt string) {
 		answer := NewAnswer(attempt, "look", "t", 100)
 		answer.Payload = strings.Replace(answer.Payload, "look", "lock", 1)
 		writeJSON(w, answer, nil)
 	})
-	foreign := newEntry(t, func(w http.ResponseWriter, _ string) {
+	foreign := newFakeNode(t, func(w http.ResponseWriter, _ string) {
 		writeJSON(w, NewAnswer("1-2.1", "look", "t", 100), nil)
 	})
 	load := testLoad(t, &instantClock{}, half, changed, foreign)
-	outcome := load.request(testContext(t), Arrival{ID: "1-1", Kind: "look"})
+	outcome := load.runRequest(testContext(t), Arrival{ID: "1-1", Kind: "look"})
 	is.True(!outcome.Good)
-	is.True(outcome.Tries[0].Torn)
-	is.True(outcome.Tries[1].Torn)
-	is.True(outcome.Tries[2].Foreign)
+	is.True(outcome.Attempts[0].Torn)
+	is.True(outcome.Attempts[1].Torn)
+	is.True(outcome.Attempts[2].Foreign)
 }
 
-// TestArrivalsDoNotWait holds back every answer until the last request has
-// arrived: a closed loop would never come to its end.
+// TestArrivalsDoNotWait guards against closed-loop load, in which a request waits for the
+// answer to an earlier one. Every answer is held back until the last request has arrived,
+// so that a closed loop would never end. The test also checks that faults are set and that
+// an unreachable target is reported.
 func TestArrivalsDoNotWait(t *testing.T) {
 	is := is.New(t)
 	const requests = 50
 	var arrived sync.WaitGroup
 	arrived.Add(requests)
-	entry := newEntry(t, func(w http.ResponseWriter, attempt string) {
+	entry := newFakeNode(t, func(w http.ResponseWriter, attempt string) {
 		arrived.Done()
 		arrived.Wait()
 		answerWith("look")(w, attempt)
@@ -147,24 +149,24 @@
 	defer target.Close()
 	load := testLoad(t, clock.System{}, entry)
 	load.Config.Targets = []LoadTarget{{Name: "t", Address: strings.TrimPrefix(target.URL, "http://")}, {Name: "gone", Address: "127.0.0.1:1"}}
-	load.Config.Faults = []Fault{{Targets: []string{"t"}, Switch: map[string]any{"drain": true}}}
+	load.Config.Faults = []Fault{{Targets: []string{"t"}, Values: map[string]any{"drain": true}}}
 	arrivals := make([]Arrival, 0, requests)
 	for i := range requests {
 		arrivals = append(arrivals, Arrival{ID: strconv.Itoa(i), Kind: "look", At: time.Duration(i) * time.Millisecond})
 	}
 	report := load.Run(testContext(t), arrivals)
 	is.Equal(report.Good, requests)
-	is.Equal(report.Silent, []string{"gone"})
+	is.Equal(report.Unreachable, []string{"gone"})
 	answer, err := http.Get(target.URL + "/-/healthz")
 	is.NoErr(err)
 	defer answer.Body.Close()
-	is.Equal(answer.StatusCode, http.StatusServiceUnavailable) // the fault was switched
+	is.Equal(answer.StatusCode, http.StatusServiceUnavailable) // the fault was not set
 }
 
 func TestCallerHeedsRetryAfter(t *testing.T) {
-	for _, heeds := range []bool{true, false} {
+	for _, heed := range []bool{true, false} {
 		is := is.New(t)
-		entry := newEntry(t, func(w http.ResponseWriter, attempt string) {
+		entry := newFakeNode(t, func(w http.ResponseWriter, attempt string) {
 			if strings.HasSuffix(attempt, ".1") {
 				w.Header().Set("Retry-After", "3")
 				w.WriteHeader(http.StatusServiceUnavailable)
@@ -174,10 +176,10 @@
 		})
 		load := testLoad(t, &instantClock{}, entry)
 		load.Config.Callers.Backoff = 200 * time.Millisecond
-		load.Config.Callers.HeedRetryAfter = heeds
-		outcome := load.request(testContext(t), Arrival{ID: "1-1", Kind: "order"})
+		load.Config.Callers.HeedRetryAfter = heed
+		outcome := load.runRequest(testContext(t), Arrival{ID: "1-1", Kind: "order"})
 		is.True(outcome.Good)
-		if heeds {
+		if heed {
 			is.Equal(outcome.Took, 3*time.Second)
 		} else {
 			is.Equal(outcome.Took, 200*time.Millisecond)
@@ -185,7 +187,7 @@
 	}
 }
 
-// lateClock ends every wait 30 ms after its time.
+// lateClock ends every wait 30 ms late.
 type lateClock struct {
 	instantClock
 }
@@ -196,7 +198,7 @@
 
 func TestReportTellsHowLateTheLoadWas(t *testing.T) {
 	is := is.New(t)
-	entry := newEntry(t, answerWith("look"))
+	entry := newFakeNode(t, answerWith("look"))
 	load := testLoad(t, &lateClock{}, entry)
 	report := load.Run(testContext(t), []Arrival{
 		{ID: "1-1", Kind: "look", At: 100 * time.Millisecond},
--- a/internal/drill/measure.go
+++ b/internal/drill/measure.go
@@ -34,9 +34,9 @@
 			if err != nil {
 				return err
 			}
-			// A part of a run must not stand beside whole ones in a table.
+			// The report of an incomplete run must not end up in a table with complete ones.
 			if asJSON && command.Context().Err() != nil {
-				return badTrace.New("stopped before the end of the trace")
+				return badTraceError.New("stopped before the end of the trace")
 			}
 			if asJSON {
 				err = json.NewEncoder(os.Stdout).Encode(report)
@@ -44,7 +44,7 @@
 				report.Print(os.Stdout)
 			}
 			if strict && len(report.Missed) > 0 {
-				return badTrace.New("%d stated outcomes missed", len(report.Missed))
+				return badTraceError.New("the run missed %d expectations of its trace", len(report.Missed))
 			}
 			return err
 		},
@@ -59,7 +59,7 @@
 }
 
 func addedCommand() *cobra.Command {
-	added := &Added{Clock: clock.System{}}
+	added := &AddedLatency{Clock: clock.System{}}
 	var asJSON bool
 	command := &cobra.Command{
 		Use:   "added",
@@ -83,7 +83,7 @@
 	flags.StringVar(&added.Path, "path", "", "declared path of a GET kind")
 	flags.IntVar(&added.Pairs, "pairs", 2000, "pairs of calls")
 	flags.IntVar(&added.Workers, "workers", 4, "pairs under way at once")
-	flags.DurationVar(&added.Gap, "gap", 5*time.Millisecond, "pause of a worker between pairs")
+	flags.DurationVar(&added.Pause, "gap", 5*time.Millisecond, "pause of a worker between pairs")
 	flags.IntSliceVar(&added.Processes, "process", nil, "process ids whose processor time is counted")
 	flags.BoolVar(&asJSON, "json", false, "print the report as JSON")
 	for _, name := range []string{"entry", "target", "path"} {
@@ -106,7 +106,7 @@
 			out := command.OutOrStdout()
 			switch {
 			case added:
-				PrintAddedTable(out, ReadRuns[AddedReport](root, paths))
+				PrintAddedLatencyTable(out, ReadRuns[AddedLatencyReport](root, paths))
 			case kinds:
 				PrintKindTable(out, ReadRuns[Report](root, paths))
 			default:
@@ -132,7 +132,7 @@
 		RunE: func(command *cobra.Command, paths []string) error {
 			runs := ReadRuns[Report](root, paths)
 			if err := os.MkdirAll(out, 0o755); err != nil {
-				return badFile.Wrap(err, "make directory")
+				return badFileError.Wrap(err, "create picture directory")
 			}
 			for _, chart := range Charts(runs) {
 				path := filepath.Join(out, chart.Name+"."+format)
--- a/internal/drill/naive.go
+++ b/internal/drill/naive.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// naiveRetries is how often the naive relay repeats a failed call at each hop.
+	// naiveRetries is how often the naive relay retries a failed call at each hop.
 	naiveRetries = 3
-	// naiveIdle is how many idle connections to one target are kept.
-	naiveIdle = 20
+	// naiveIdleConns is the number of idle connections kept to one target.
+	naiveIdleConns = 20
 )
 
 type (
-	// NaiveConfig is the settings of one naive relay.
+	// NaiveConfig holds the settings of one naive relay.
 	NaiveConfig struct {
 		Listen string `yaml:"listen"`
 		// Mesh is the directory of the firm's declarations.
 		Mesh    string `yaml:"mesh"`
 		Retries int    `yaml:"retries"`
-		// Targets holds the fixed list of addresses of each service.
+		// Targets maps each service to its fixed list of target addresses.
 		Targets map[string][]string `yaml:"targets"`
 	}
 
-	// Naive is the relay to compare with: round robin over a fixed list,
-	// retries at every hop on any error or 5xx, no shedding. It is safe for
-	// concurrent use.
-	Naive struct {
+	// NaiveRelay is the baseline of the benchmarks: round robin over a fixed list,
+	// retries at every hop on any error or 5xx status, no load shedding. It is safe
+	// for concurrent use.
+	NaiveRelay struct {
 		config NaiveConfig
 		client *http.Client
 		next   map[string]*atomic.Uint64
@@ -46,17 +46,17 @@
 	}
 )
 
-// NewNaive returns a naive relay.
-func NewNaive(config NaiveConfig) *Naive {
+// NewNaiveRelay returns a naive relay.
+func NewNaiveRelay(config NaiveConfig) *NaiveRelay {
 	next := make(map[string]*atomic.Uint64, len(config.Targets))
 	for service := range config.Targets {
 		next[service] = new(atomic.Uint64)
 	}
-	return &Naive{config: config, client: newClient(naiveIdle), next: next}
+	return &NaiveRelay{config: config, client: newClient(naiveIdleConns), next: next}
 }
 
-// Handler returns the relay's HTTP door for the kinds of the mesh.
-func (n *Naive) Handler(mesh *schema.Set) http.Handler {
+// Handler returns the HTTP handler of the relay for the kinds of the mesh.
+func (n *NaiveRelay) Handler(mesh *schema.Set) http.Handler {
 	mux := http.NewServeMux()
 	for _, kind := range mesh.Kinds {
 		mux.HandleFunc(kind.Method+" "+kind.Path, func(w http.ResponseWriter, r *http.Request) {
@@ -66,7 +66,7 @@
 	return mux
 }
 
-func (n *Naive) serve(w http.ResponseWriter, r *http.Request, kind schema.Kind) {
+func (n *NaiveRelay) serve(w http.ResponseWriter, r *http.Request, kind schema.Kind) {
 	ctx, cancel := context.WithTimeout(r.Context(), kind.Deadline)
 	defer cancel()
 	body, err := io.ReadAll(r.Body)
@@ -75,8 +75,8 @@
 		return
 	}
 	answer := naiveAnswer{status: http.StatusBadGateway}
-	for try := 0; try <= n.config.Retries && ctx.Err() == nil; try++ {
-		got, err := n.try(ctx, r, kind, body)
+	for attempt := 0; attempt <= n.config.Retries && ctx.Err() == nil; attempt++ {
+		got, err := n.sendAttempt(ctx, r, kind, body)
 		if err != nil {
 			continue
 		}
@@ -95,17 +95,17 @@
 	_, _ = w.Write(answer.body)
 }
 
-func (n *Naive) try(ctx context.Context, r *http.Request, kind schema.Kind, body []byte) (naiveAnswer, error) {
+func (n *NaiveRelay) sendAttempt(ctx context.Context, r *http.Request, kind schema.Kind, body []byte) (naiveAnswer, error) {
 	targets := n.config.Targets[kind.Service]
 	if len(targets) == 0 {
-		return naiveAnswer{}, callError.New("no target of %s", kind.Service)
+		return naiveAnswer{}, callError.New("service %s has no targets", kind.Service)
 	}
 	address := targets[n.next[kind.Service].Add(1)%uint64(len(targets))]
 	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+address+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		return naiveAnswer{}, err
 	}
-	// Without GetBody, net/http adds no repeats to those that are counted here.
+	// Without GetBody, net/http makes no retries beyond those that are counted here.
 	request.GetBody = nil
 	request.Header = r.Header.Clone()
 	if deadline, ok := ctx.Deadline(); ok {
--- a/internal/drill/naive_test.go
+++ b/internal/drill/naive_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// TestNaiveMultiplies shows why the naive relay is what to compare with: while
-// the deep service sheds, one order reaches it once for every combination of
-// attempts along the chain.
+// TestNaiveMultiplies shows the retry amplification that makes the naive relay the
+// baseline: while a service at the end of the chain sheds, one order reaches it once for
+// every combination of attempts along the chain.
 func TestNaiveMultiplies(t *testing.T) {
 	is := is.New(t)
 	mesh := testMesh()
@@ -33,7 +33,7 @@
 			Before: []Call{{"GET", "/stock/{item}"}, {"POST", "/lines"}}}},
 	}, &instantClock{}).Handler())
 	defer orders.Close()
-	naive := NewNaive(NaiveConfig{Retries: naiveRetries, Targets: map[string][]string{
+	naive := NewNaiveRelay(NaiveConfig{Retries: naiveRetries, Targets: map[string][]string{
 		"stock":  {strings.TrimPrefix(stock.URL, "http://")},
 		"orders": {strings.TrimPrefix(orders.URL, "http://")},
 		"lines":  {strings.TrimPrefix(lines.URL, "http://")},
@@ -65,13 +65,13 @@
 		defer server.Close()
 		addresses = append(addresses, strings.TrimPrefix(server.URL, "http://"))
 	}
-	naive := NewNaive(NaiveConfig{Retries: naiveRetries, Targets: map[string][]string{"stock": addresses}})
-	door := naive.Handler(testMesh())
+	naive := NewNaiveRelay(NaiveConfig{Retries: naiveRetries, Targets: map[string][]string{"stock": addresses}})
+	handler := naive.Handler(testMesh())
 	for range 6 {
 		recorder := httptest.NewRecorder()
-		door.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/stock/1", nil))
-		is.Equal(recorder.Code, http.StatusOK) // the next target in turn had the answer
+		handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/stock/1", nil))
+		is.Equal(recorder.Code, http.StatusOK) // the retry at the next target did not succeed
 	}
-	is.True(calls[0].Load() > 0) // a failing target stays in the list
+	is.True(calls[0].Load() > 0) // the failing target was removed from the list
 	is.True(calls[1].Load()+calls[2].Load() == 6)
 }
--- a/internal/drill/picture.go
+++ b/internal/drill/picture.go
@@ -12,19 +12,20 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// The sizes of a picture.
+// Layout of a picture.
 const (
 	pictureWidth  = 8 * vg.Inch
 	pictureHeight = 7 * vg.Inch
 	pictureMargin = vg.Inch / 12
 	lineWidth     = vg.Length(1.5)
 	bandOpacity   = 0x38
-	// headroom keeps the legend off the curves.
+	// headroom is the ratio of the y axis to the highest value, which keeps the legend
+	// clear of the curves.
 	headroom = 1.3
 )
 
 var (
-	// meshColours can be told apart by most people who see few colours.
+	// meshColours are distinguishable with the common forms of colour blindness.
 	meshColours = []colour.NRGBA{
 		{R: 0xd5, G: 0x5e, B: 0x00, A: 0xff},
 		{R: 0x00, G: 0x72, B: 0xb2, A: 0xff},
@@ -35,8 +36,8 @@
 	triggerColour = colour.NRGBA{R: 0xee, G: 0xee, B: 0xe4, A: 0xff}
 )
 
-// Save draws the chart into a file, in the format that its ending names: good
-// answers above, attempts below, over the same seconds.
+// Save draws the chart into a file, in the format given by the file extension. The panel
+// of good answers is above that of attempts, on the same time axis.
 func (c Chart) Save(path string) error {
 	good, err := c.panel(c.Name, "good answers a second", c.Good)
 	if err != nil {
@@ -50,21 +51,21 @@
 	format := strings.TrimPrefix(filepath.Ext(path), ".")
 	canvas, err := draw.NewFormattedCanvas(pictureWidth, pictureHeight, format)
 	if err != nil {
-		return badFile.Wrap(err, "%s", path)
+		return badFileError.Wrap(err, "%s", path)
 	}
 	stack(draw.New(canvas), good, attempts)
 	file, err := os.Create(path)
 	if err != nil {
-		return badFile.Wrap(err, "write picture")
+		return badFileError.Wrap(err, "write picture")
 	}
 	if _, err := canvas.WriteTo(file); err != nil {
 		_ = file.Close()
-		return badFile.Wrap(err, "%s", path)
+		return badFileError.Wrap(err, "%s", path)
 	}
 	return file.Close()
 }
 
-// stack draws panels one below the other, with their axes aligned.
+// stack draws the panels in one column with aligned axes.
 func stack(canvas draw.Canvas, panels ...*plot.Plot) {
 	rows := make([][]*plot.Plot, 0, len(panels))
 	for _, panel := range panels {
@@ -84,11 +85,11 @@
 	}
 }
 
-// panel draws the arrivals and one curve for each mesh.
-func (c Chart) panel(title, figure string, curves []Curve) (*plot.Plot, error) {
+// panel returns a plot of the arrivals and of one curve for each mesh.
+func (c Chart) panel(title, label string, curves []Curve) (*plot.Plot, error) {
 	panel := plot.New()
 	panel.Title.Text = title
-	panel.Y.Label.Text = figure
+	panel.Y.Label.Text = label
 	panel.Y.Min = 0
 	panel.Y.Max = headroom * c.highest(curves)
 	panel.Legend.Top = true
@@ -112,7 +113,7 @@
 	return panel, nil
 }
 
-// addTrigger shades the time of the trigger over the whole height.
+// addTrigger shades the time of the trigger over the full height of the panel.
 func (c Chart) addTrigger(panel *plot.Plot) error {
 	top := panel.Y.Max
 	shade, err := plotter.NewPolygon(plotter.XYs{
@@ -122,7 +123,7 @@
 		{X: c.TriggerTo, Y: 0},
 	})
 	if err != nil {
-		return badFile.Wrap(err, "%s", c.Name)
+		return badFileError.Wrap(err, "%s", c.Name)
 	}
 	shade.Color = triggerColour //nolint:misspell // The library's spelling.
 	shade.Width = 0
@@ -138,7 +139,7 @@
 	}
 	line, err := plotter.NewLine(points)
 	if err != nil {
-		return badFile.Wrap(err, "%s", curve.Name)
+		return badFileError.Wrap(err, "%s", curve.Name)
 	}
 	line.Color = paint //nolint:misspell // The library's spelling.
 	line.Width = lineWidth
@@ -148,8 +149,8 @@
 	return nil
 }
 
-// addBand draws the range from the lowest to the highest run, when there are
-// several.
+// addBand shades the range from the lowest to the highest run when there are at least
+// two runs.
 func addBand(panel *plot.Plot, curve Curve, paint colour.NRGBA) error {
 	if len(curve.Points) == 0 || curve.Points[0].Runs < 2 {
 		return nil
@@ -162,7 +163,7 @@
 	}
 	band, err := plotter.NewPolygon(edge)
 	if err != nil {
-		return badFile.Wrap(err, "%s", curve.Name)
+		return badFileError.Wrap(err, "%s", curve.Name)
 	}
 	paint.A = bandOpacity
 	band.Color = paint //nolint:misspell // The library's spelling.
@@ -171,8 +172,8 @@
 	return nil
 }
 
-// highest returns the highest value of the curves and the arrivals, and at least
-// 1, so that an empty run has an axis too.
+// highest returns the highest value of the curves and the arrivals, and at least 1, so
+// that an empty run has a valid y axis.
 func (c Chart) highest(curves []Curve) float64 {
 	top := 1.0
 	for _, curve := range append([]Curve{c.Offered}, curves...) {
--- a/internal/drill/platform.go
+++ b/internal/drill/platform.go
@@ -12,12 +12,12 @@
 	"github.com/dandelionfield/dandelionfield/internal/plat"
 )
 
-// maxPlatformBody bounds the body of one request to the platform stand-in.
+// maxPlatformBody limits the body of one request to the platform stand-in, in bytes.
 const maxPlatformBody = 64 << 20
 
-// NewPlatform serves a platform stand-in over HTTP and JSON: the table under
-// /table/, objects under /objects/, faults under /-/faults and counters under
-// /-/stats. See plat.NewClient for the other side.
+// NewPlatform returns a handler that serves a platform stand-in over HTTP and JSON: the
+// tables under /table/, objects under /objects/, faults under /-/faults and counters under
+// /-/stats. See plat.NewClient for the client.
 func NewPlatform(m *plat.Memory) http.Handler {
 	store := m.Store()
 	mux := http.NewServeMux()
@@ -45,7 +45,7 @@
 			writePlatformError(w, err)
 			return
 		}
-		_, _ = w.Write(data) // the reader sees a short body
+		_, _ = w.Write(data) // If the write fails, the client sees a short body.
 	})
 	mux.HandleFunc("DELETE /objects/{name}", func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, struct{}{}, store.DeleteObject(r.Context(), r.PathValue("name")))
@@ -127,7 +127,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(body) // the reader sees a short body
+	_ = json.NewEncoder(w).Encode(body) // If the write fails, the client sees a short body.
 }
 
 func writePlatformError(w http.ResponseWriter, err error) {
--- a/internal/drill/platform_test.go
+++ b/internal/drill/platform_test.go
@@ -14,7 +14,8 @@
 	"github.com/dandelionfield/dandelionfield/internal/plat"
 )
 
-// TestClientAgainstPlatform runs the same operations over HTTP and in memory.
+// TestClientAgainstPlatform checks that the same operations have the same results over
+// HTTP and in memory.
 func TestClientAgainstPlatform(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
@@ -27,17 +28,17 @@
 	write := plat.Write{Table: "t", ID: "w1", Changes: []plat.Change{{Key: "a/b c", Value: []byte{0, 1}}}}
 	version, err := store.Commit(ctx, write)
 	is.NoErr(err)
-	for _, door := range []plat.Store{store, memory.Store()} {
-		row, err := door.Get(ctx, "t", "a/b c")
+	for _, backend := range []plat.Store{store, memory.Store()} {
+		row, err := backend.Get(ctx, "t", "a/b c")
 		is.NoErr(err)
 		is.Equal(row, plat.Row{Key: "a/b c", Value: []byte{0, 1}, Version: version, WriteID: "w1"})
-		rows, upTo, err := door.List(ctx, "t", 0)
+		rows, upTo, err := backend.List(ctx, "t", 0)
 		is.NoErr(err)
 		is.Equal(rows, []plat.Row{row})
 		is.Equal(upTo, version)
-		_, err = door.GetObject(ctx, "absent")
+		_, err = backend.GetObject(ctx, "absent")
 		is.True(errorx.IsOfType(err, plat.NotFound))
-		_, err = door.Commit(ctx, plat.Write{Table: "t", ID: "w2", Changes: write.Changes})
+		_, err = backend.Commit(ctx, plat.Write{Table: "t", ID: "w2", Changes: write.Changes})
 		is.True(errorx.IsOfType(err, plat.Conflict))
 	}
 	is.NoErr(store.PutObject(ctx, "o", []byte("data")))
@@ -46,13 +47,13 @@
 	is.Equal(string(data), "data")
 	is.NoErr(store.PutObject(ctx, "p/2", []byte("two")))
 	is.NoErr(store.PutObject(ctx, "p/1", []byte("one")))
-	for _, door := range []plat.Store{store, memory.Store()} {
-		names, err := door.ListObjects(ctx, "p/", 1)
+	for _, backend := range []plat.Store{store, memory.Store()} {
+		names, err := backend.ListObjects(ctx, "p/", 1)
 		is.NoErr(err)
-		is.Equal(names, []string{"p/1"}) // the first in order, no more than asked for
-		is.NoErr(door.DeleteObject(ctx, "o"))
-		is.NoErr(door.DeleteObject(ctx, "o")) // absent is deleted
-		_, err = door.GetObject(ctx, "o")
+		is.Equal(names, []string{"p/1"}) // not the first name, or more names than the limit
+		is.NoErr(backend.DeleteObject(ctx, "o"))
+		is.NoErr(backend.DeleteObject(ctx, "o")) // deleting an absent object failed
+		_, err = backend.GetObject(ctx, "o")
 		is.True(errorx.IsOfType(err, plat.NotFound))
 	}
 
@@ -60,7 +61,7 @@
 	is.NoErr(err)
 	is.NoErr(resp.Body.Close())
 	resolved, err := plat.Resolved(store).Commit(ctx, plat.Write{Table: "t", ID: "w3", Changes: []plat.Change{{Key: "new", Value: []byte("v")}}})
-	is.NoErr(err) // the row tells that the write took effect
+	is.NoErr(err) // the lost answer was not resolved by reading the row
 	is.Equal(resolved, version+1)
 
 	memory.SetFaults(plat.Faults{Down: true})
--- a/internal/drill/print.go
+++ b/internal/drill/print.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 )
 
-// Print writes the report as a table for people.
+// Print writes the report as text.
 func (r Report) Print(w io.Writer) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "phase\tkind\toffered\tgood\tshare\tgood/s\tp50 ms\tp99 ms\t")
@@ -18,31 +18,31 @@
 			line.Offered, line.Good, 100*line.Share, line.GoodPerSecond, line.P50MS, line.P99MS)
 	}
 	_ = table.Flush()
-	r.printSpells(w)
-	_, _ = fmt.Fprintf(w, "goodput: %d of %d requests; recovery: %s\n", r.Good, r.Offered, r.recovery())
+	r.printWindows(w)
+	_, _ = fmt.Fprintf(w, "goodput: %d of %d requests; recovery: %s\n", r.Good, r.Offered, r.formatRecovery())
 	_, _ = fmt.Fprintf(w, "attempts per request: %.2f by callers; repeats of one attempt, most: %d; calls at targets per request: %.2f, most %d\n",
-		r.TriesPerRequest, r.MostRepeats, r.CallsPerRequest, r.MostCalls)
+		r.AttemptsPerRequest, r.MaxRepeats, r.CallsPerRequest, r.MaxCalls)
 	_, _ = fmt.Fprintf(w, "work: %d ms, wasted: %d ms\n", r.WorkMS, r.WastedMS)
 	_, _ = fmt.Fprintf(w, "torn answers: %d; foreign answers: %d; double executions: %d; false not run: %d\n",
 		r.Torn, r.Foreign, r.DoubleRuns, r.FalseNotRun)
-	_, _ = fmt.Fprintf(w, "failed attempts: %s\n", r.refusals())
+	_, _ = fmt.Fprintf(w, "failed attempts: %s\n", r.formatFailures())
 	_, _ = fmt.Fprintf(w, "requests sent late, p99: %.1f ms\n", r.LateP99MS)
 	for _, missed := range r.Missed {
 		_, _ = fmt.Fprintln(w, "missed:", missed)
 	}
-	if len(r.Silent) > 0 {
-		_, _ = fmt.Fprintf(w, "targets that could not be asked what they ran: %s\n", strings.Join(r.Silent, ", "))
+	if len(r.Unreachable) > 0 {
+		_, _ = fmt.Fprintf(w, "targets that could not be asked what they ran: %s\n", strings.Join(r.Unreachable, ", "))
 	}
 }
 
-func (r Report) recovery() string {
+func (r Report) formatRecovery() string {
 	if r.RecoveryS == NotRecovered {
 		return "not in the trace"
 	}
 	return fmt.Sprintf("%.1f s", r.RecoveryS)
 }
 
-func (r Report) refusals() string {
+func (r Report) formatFailures() string {
 	if len(r.Refusals) == 0 {
 		return "none"
 	}
@@ -60,28 +60,28 @@
 	return 100 * float64(r.WastedMS) / float64(r.WorkMS)
 }
 
-func (r Report) spell(name string) Spell {
-	for _, spell := range r.Spells {
-		if spell.Name == name {
-			return spell
+func (r Report) window(name string) Window {
+	for _, window := range r.Windows {
+		if window.Name == name {
+			return window
 		}
 	}
-	return Spell{}
+	return Window{}
 }
 
-func (s Spell) rate() string {
-	if s.Seconds == 0 {
+func (w Window) formatRate() string {
+	if w.Seconds == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.0f of %.0f", float64(s.Answered)/s.Seconds, float64(s.Offered)/s.Seconds)
+	return fmt.Sprintf("%.0f of %.0f", float64(w.Answered)/w.Seconds, float64(w.Offered)/w.Seconds)
 }
 
-func (s Spell) offeredPerSecond() float64 {
-	return perSecond(s.Offered, s.Seconds)
+func (w Window) offeredPerSecond() float64 {
+	return perSecond(w.Offered, w.Seconds)
 }
 
-func (s Spell) answeredPerSecond() float64 {
-	return perSecond(s.Answered, s.Seconds)
+func (w Window) answeredPerSecond() float64 {
+	return perSecond(w.Answered, w.Seconds)
 }
 
 func perSecond(count int, seconds float64) float64 {
@@ -91,28 +91,29 @@
 	return float64(count) / seconds
 }
 
-func (s Spell) criticalShare() string {
-	if s.CriticalOffered == 0 {
+func (w Window) formatCriticalShare() string {
+	if w.CriticalOffered == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.1f%% (%.1f%% of possible)", 100*float64(s.CriticalGood)/float64(s.CriticalOffered), 100*s.criticalGoodShare())
+	return fmt.Sprintf("%.1f%% (%.1f%% of possible)", 100*float64(w.CriticalGood)/float64(w.CriticalOffered), 100*w.criticalGoodShare())
 }
 
-// tightest says how many useful calls the bottleneck made and could make.
-func (s Spell) tightest() string {
-	service := s.bottleneck()
+// formatBottleneck returns the bottleneck service with the useful calls that it made per
+// second and those that it could have made.
+func (w Window) formatBottleneck() string {
+	service := w.bottleneck()
 	if service == "" {
 		return "-"
 	}
-	return fmt.Sprintf("%s %.1f/s of %.1f/s", service, s.Useful[service], min(s.Demand[service], s.Capacity[service]))
+	return fmt.Sprintf("%s %.1f/s of %.1f/s", service, w.Useful[service], min(w.Demand[service], w.Capacity[service]))
 }
 
-func (r Report) printSpells(w io.Writer) {
-	for _, spell := range r.Spells {
+func (r Report) printWindows(w io.Writer) {
+	for _, window := range r.Windows {
 		_, _ = fmt.Fprintf(w, "%s the trigger: good answers %s requests a second; critical good %s; useful calls a second and capacity:",
-			spell.Name, spell.rate(), spell.criticalShare())
-		for _, service := range slices.Sorted(maps.Keys(spell.Useful)) {
-			_, _ = fmt.Fprintf(w, " %s=%.0f/%.0f", service, spell.Useful[service], spell.Capacity[service])
+			window.Name, window.formatRate(), window.formatCriticalShare())
+		for _, service := range slices.Sorted(maps.Keys(window.Useful)) {
+			_, _ = fmt.Fprintf(w, " %s=%.0f/%.0f", service, window.Useful[service], window.Capacity[service])
 		}
 		_, _ = fmt.Fprintln(w)
 	}
--- a/internal/drill/script_test.go
+++ b/internal/drill/script_test.go
@@ -17,8 +17,8 @@
 	})
 }
 
-// TestScripts runs the scripts of testdata/script: the command line of fieldlab,
-// and the functions of scripts/ that no mesh is needed for.
+// TestScripts runs the scripts in testdata/script. They test the command line of
+// fieldlab, and the functions in scripts/ that need no running mesh.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/script",
@@ -27,11 +27,11 @@
 				"SCRIPTS": "../../scripts",
 				"RUNS":    "testdata/runs",
 			} {
-				whole, err := filepath.Abs(path)
+				absolute, err := filepath.Abs(path)
 				if err != nil {
 					return err
 				}
-				env.Setenv(name, whole)
+				env.Setenv(name, absolute)
 			}
 			return nil
 		},
--- a/internal/drill/target.go
+++ b/internal/drill/target.go
@@ -17,7 +17,7 @@
 	"github.com/dandelionfield/dandelionfield/internal/clock"
 )
 
-// The distributions of a service time.
+// Distributions of the service time.
 const (
 	Fixed       = "fixed"
 	Lognormal   = "lognormal"
@@ -25,26 +25,26 @@
 )
 
 type (
-	// TargetConfig is the settings of one stand-in for a target.
+	// TargetConfig holds the settings of one target stand-in.
 	TargetConfig struct {
 		Name    string `yaml:"name"`
 		Service string `yaml:"service"`
 		Listen  string `yaml:"listen"`
-		// ControlListen serves the switches and counters, so that they can be
-		// reached while all connections of Listen are taken.
+		// ControlListen is a separate listen address for faults and counters, which
+		// stays reachable while all connections of Listen are in use.
 		ControlListen string `yaml:"control_listen"`
-		// NodeAddress is where the target sends its own calls.
+		// NodeAddress is the address of the node, to which the target sends its calls.
 		NodeAddress string `yaml:"node_address"`
 		Slots       int    `yaml:"slots"`
 		Connections int    `yaml:"connections"`
-		// Queue is how many calls may wait for a slot; more are shed.
+		// Queue is the number of calls that may wait for a slot; further calls are shed.
 		Queue        int           `yaml:"queue"`
 		ServiceTime  time.Duration `yaml:"service_time"`
 		Distribution string        `yaml:"distribution"`
-		// Sigma is the spread of the logarithm of a lognormal service time.
+		// Sigma is the standard deviation of the logarithm of a lognormal service time.
 		Sigma     float64       `yaml:"sigma"`
 		ColdStart time.Duration `yaml:"cold_start"`
-		// ColdFactor is how many times slower the target is when it starts.
+		// ColdFactor multiplies the service time of a target that has just started.
 		ColdFactor   float64      `yaml:"cold_factor"`
 		ShedStatus   int          `yaml:"shed_status"`
 		Seed         uint64       `yaml:"seed"`
@@ -57,7 +57,8 @@
 		Name   string `yaml:"name"`
 		Method string `yaml:"method"`
 		Path   string `yaml:"path"`
-		// Before and After are made in order, before and after the own work.
+		// Before and After are the calls made, in order, before and after the target's
+		// own work.
 		Before []Call `yaml:"before,omitempty"`
 		After  []Call `yaml:"after,omitempty"`
 	}
@@ -68,45 +69,45 @@
 		Path   string `yaml:"path"`
 	}
 
-	// Target is the stand-in for one target. It is safe for concurrent use.
+	// Target is a stand-in for one target. It is safe for concurrent use.
 	Target struct {
 		config TargetConfig
 		clock  clock.Clock
 		client *http.Client
 		slots  chan struct{}
 
-		mu      sync.Mutex
-		random  *rand.Rand
-		faults  Faults
-		thaw    chan struct{}
-		coldAt  time.Time
-		waiting int
-		stats   Stats
-		done    Executions
+		mu         sync.Mutex
+		random     *rand.Rand
+		faults     Faults
+		unfreeze   chan struct{}
+		coldSince  time.Time
+		waiting    int
+		stats      Stats
+		executions Executions
 	}
 )
 
-// NewTarget returns a target that is cold from now on.
+// NewTarget returns a target whose cold start begins now.
 func NewTarget(config TargetConfig, clk clock.Clock) *Target {
 	config.Slots = max(config.Slots, 1)
 	if config.ShedStatus == 0 {
 		config.ShedStatus = http.StatusServiceUnavailable
 	}
 	return &Target{
-		config: config,
-		clock:  clk,
-		client: newClientFrom(config.Listen, config.Slots),
-		slots:  make(chan struct{}, config.Slots),
-		random: rand.New(rand.NewPCG(config.Seed, xxhash.Sum64String(config.Name))),
-		faults: Faults{SlowFactor: 1},
-		coldAt: clk.Now(),
-		stats:  Stats{Executions: map[string]int{}},
-		done:   Executions{ByRequest: map[string][]Execution{}, ByKey: map[string][]Execution{}},
+		config:     config,
+		clock:      clk,
+		client:     newClientFrom(config.Listen, config.Slots),
+		slots:      make(chan struct{}, config.Slots),
+		random:     rand.New(rand.NewPCG(config.Seed, xxhash.Sum64String(config.Name))),
+		faults:     Faults{SlowFactor: 1},
+		coldSince:  clk.Now(),
+		stats:      Stats{Executions: map[string]int{}},
+		executions: Executions{ByRequest: map[string][]Execution{}, ByKey: map[string][]Execution{}},
 	}
 }
 
-// Handler returns the target's HTTP door: the declared kinds, and its
-// switches and counters under /-/.
+// Handler returns the HTTP handler of the target: the declared kinds, and faults and
+// counters under /-/.
 func (t *Target) Handler() http.Handler {
 	mux := http.NewServeMux()
 	for _, kind := range t.config.Kinds {
@@ -118,7 +119,7 @@
 	return mux
 }
 
-// Server returns a server for the target that holds to its bound on connections.
+// Server returns an HTTP server for the target that enforces the limit on connections.
 func (t *Target) Server() *http.Server {
 	var mu sync.Mutex
 	open := 0
@@ -130,7 +131,7 @@
 			switch state {
 			case http.StateNew:
 				open++
-				if t.config.Connections > 0 && open > t.config.Connections && !t.current().NoShed {
+				if t.config.Connections > 0 && open > t.config.Connections && !t.currentFaults().NoShed {
 					_ = conn.Close()
 				}
 			case http.StateClosed, http.StateHijacked:
@@ -141,42 +142,42 @@
 }
 
 func (t *Target) serve(w http.ResponseWriter, r *http.Request, kind TargetKind) {
-	t.note(r, kind, Execution{Arrived: 1})
-	t.waitThaw()
-	faults := t.current()
+	t.recordExecution(r, kind, Execution{Arrived: 1})
+	t.waitWhileFrozen()
+	faults := t.currentFaults()
 	if faults.Down {
 		panic(http.ErrAbortHandler)
 	}
-	ctx, cancel := faults.patience(r)
+	ctx, cancel := faults.workContext(r)
 	defer cancel()
 	if faults.Drain || !t.acquire(ctx) {
-		t.count(func(s *Stats) { s.Shed++ })
+		t.updateStats(func(s *Stats) { s.Shed++ })
 		http.Error(w, "shed", t.config.ShedStatus)
 		return
 	}
 	defer func() { <-t.slots }()
 	status := t.run(ctx, r, kind)
-	t.waitThaw()
+	t.waitWhileFrozen()
 	if status != http.StatusOK {
 		http.Error(w, "not served", status)
 		return
 	}
-	t.answer(w, r, kind)
+	t.writeAnswer(w, r, kind)
 }
 
-// run makes the calls and does the work of one request, and returns the status
-// of its answer. It sheds only while nothing was committed: its own work has
-// not begun and no call that changes something has been answered.
+// run makes the calls and does the work of one request, and returns the HTTP status of
+// the answer. It sheds only while nothing is committed, that is before its own work has
+// started and before any call that changes state has succeeded or may have run.
 func (t *Target) run(ctx context.Context, r *http.Request, kind TargetKind) int {
 	committed := false
 	for _, call := range kind.Before {
 		if status := t.call(ctx, r, call); status != http.StatusOK {
-			return t.failed(call, committed, status)
+			return t.failedCallStatus(call, committed, status)
 		}
 		committed = committed || call.Method != http.MethodGet
 	}
-	if t.chance(t.current().FailShare) {
-		t.count(func(s *Stats) { s.Failed++ })
+	if t.drawBool(t.currentFaults().FailShare) {
+		t.updateStats(func(s *Stats) { s.Failed++ })
 		return http.StatusInternalServerError
 	}
 	if !t.work(ctx, r, kind) {
@@ -184,30 +185,31 @@
 	}
 	for _, call := range kind.After {
 		if status := t.call(ctx, r, call); status != http.StatusOK {
-			return t.failed(call, true, status)
+			return t.failedCallStatus(call, true, status)
 		}
 	}
-	t.count(func(s *Stats) { s.Completed++ })
+	t.updateStats(func(s *Stats) { s.Completed++ })
 	return http.StatusOK
 }
 
-// failed returns the status of an answer whose call failed. A look-up that did
-// not come, or a call that was itself refused, leaves nothing behind.
-func (t *Target) failed(call Call, committed bool, status int) int {
+// failedCallStatus returns the status of an answer after a downstream call has failed.
+// The target sheds if nothing is committed and the failed call had no effect, which
+// holds for a look-up (GET) and for a call that was itself rejected (503).
+func (t *Target) failedCallStatus(call Call, committed bool, status int) int {
 	harmless := call.Method == http.MethodGet || status == http.StatusServiceUnavailable
 	if !committed && harmless {
-		t.count(func(s *Stats) { s.Shed++ })
+		t.updateStats(func(s *Stats) { s.Shed++ })
 		return t.config.ShedStatus
 	}
-	t.count(func(s *Stats) { s.Failed++ })
+	t.updateStats(func(s *Stats) { s.Failed++ })
 	return http.StatusInternalServerError
 }
 
-// call makes one call through the node and returns its status, or 0 when no
-// whole answer came.
+// call makes one call through the node and returns its HTTP status, or 0 when no
+// complete answer was received.
 func (t *Target) call(ctx context.Context, r *http.Request, call Call) int {
 	attempt := r.Header.Get(RequestHeader)
-	url := "http://" + t.config.NodeAddress + fillPath(call.Path, baseRequest(attempt))
+	url := "http://" + t.config.NodeAddress + fillPath(call.Path, requestID(attempt))
 	request, err := http.NewRequestWithContext(ctx, call.Method, url, nil)
 	if err != nil {
 		return 0
@@ -227,33 +229,33 @@
 	return answer.StatusCode
 }
 
-// work holds the slot for a service time and reports whether it was done to
-// its end. Work that is cancelled counts as wasted.
+// work occupies the slot for one service time and reports whether the work was
+// completed. Work that is cancelled counts as wasted.
 func (t *Target) work(ctx context.Context, r *http.Request, kind TargetKind) bool {
-	begun := t.clock.Now()
-	t.count(func(s *Stats) { s.Executions[kind.Name]++ })
-	t.note(r, kind, Execution{Runs: 1})
-	whole := true
+	start := t.clock.Now()
+	t.updateStats(func(s *Stats) { s.Executions[kind.Name]++ })
+	t.recordExecution(r, kind, Execution{Runs: 1})
+	completed := true
 	select {
 	case <-t.clock.After(t.serviceTime()):
 	case <-ctx.Done():
-		whole = false
+		completed = false
 	}
-	t.waitThaw()
-	spent := t.clock.Now().Sub(begun).Milliseconds()
-	t.note(r, kind, Execution{WorkMS: spent})
-	if !whole {
-		t.count(func(s *Stats) {
+	t.waitWhileFrozen()
+	elapsed := t.clock.Now().Sub(start).Milliseconds()
+	t.recordExecution(r, kind, Execution{WorkMS: elapsed})
+	if !completed {
+		t.updateStats(func(s *Stats) {
 			s.Cancelled++
-			s.WastedMS += spent
+			s.WastedMS += elapsed
 		})
 	}
-	return whole
+	return completed
 }
 
-// answer sends the whole answer, or the first half of it under its full
-// declared length when truncation is switched on.
-func (t *Target) answer(w http.ResponseWriter, r *http.Request, kind TargetKind) {
+// writeAnswer sends the answer. When a truncation fault applies, it sends only the first
+// half of the body under the full Content-Length and aborts the connection.
+func (t *Target) writeAnswer(w http.ResponseWriter, r *http.Request, kind TargetKind) {
 	body, err := json.Marshal(NewAnswer(r.Header.Get(RequestHeader), kind.Name, t.config.Name, t.config.PayloadBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -261,7 +263,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	truncate := t.chance(t.current().TruncateShare)
+	truncate := t.drawBool(t.currentFaults().TruncateShare)
 	if truncate {
 		body = body[:len(body)/2]
 	}
@@ -272,8 +274,8 @@
 	}
 }
 
-// acquire takes a slot, waiting in the short line if there is room in it. It
-// takes none for a call whose time has passed.
+// acquire takes a slot, waiting in the bounded queue if there is room. It takes none
+// for a call whose deadline has passed.
 func (t *Target) acquire(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
@@ -289,7 +291,7 @@
 		return false
 	}
 	t.waiting++
-	t.stats.MostWaiting = max(t.stats.MostWaiting, t.waiting)
+	t.stats.MaxWaiting = max(t.stats.MaxWaiting, t.waiting)
 	t.mu.Unlock()
 	defer func() {
 		t.mu.Lock()
@@ -304,23 +306,23 @@
 	}
 }
 
-// serviceTime draws the time that one piece of work takes now. A cold target
-// starts ColdFactor times slower and gets faster in a straight line.
+// serviceTime draws a service time. A cold target starts ColdFactor times slower and
+// speeds up linearly over ColdStart.
 func (t *Target) serviceTime() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	factor := t.faults.SlowFactor
-	age := t.clock.Now().Sub(t.coldAt)
+	age := t.clock.Now().Sub(t.coldSince)
 	if age < t.config.ColdStart && t.config.ColdFactor > 1 {
 		left := 1 - float64(age)/float64(t.config.ColdStart)
 		factor *= 1 + (t.config.ColdFactor-1)*left
 	}
-	return time.Duration(float64(t.config.ServiceTime) * factor * t.draw())
+	return time.Duration(float64(t.config.ServiceTime) * factor * t.drawFactor())
 }
 
-// draw returns a number with mean 1 from the configured distribution. A
-// lognormal number exp(mu+sigma*z) has mean exp(mu+sigma²/2), so mu is -sigma²/2.
-func (t *Target) draw() float64 {
+// drawFactor draws a number with mean 1 from the configured distribution. A lognormal
+// variable exp(mu+sigma*z) has mean exp(mu+sigma²/2), so mu is -sigma²/2.
+func (t *Target) drawFactor() float64 {
 	switch t.config.Distribution {
 	case Exponential:
 		return t.random.ExpFloat64()
@@ -331,51 +333,51 @@
 	return 1
 }
 
-func (t *Target) chance(share float64) bool {
+func (t *Target) drawBool(share float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return share > 0 && t.random.Float64() < share
 }
 
-func (t *Target) current() Faults {
+func (t *Target) currentFaults() Faults {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.faults
 }
 
-// waitThaw blocks while the target is frozen, as a paused process does: not
-// even the caller's going away ends it.
-func (t *Target) waitThaw() {
+// waitWhileFrozen blocks while the target is frozen. Like a paused process, the target
+// does not notice when the caller disconnects.
+func (t *Target) waitWhileFrozen() {
 	t.mu.Lock()
-	thaw := t.thaw
+	thaw := t.unfreeze
 	t.mu.Unlock()
 	if thaw != nil {
 		<-thaw
 	}
 }
 
-func (t *Target) count(change func(*Stats)) {
+func (t *Target) updateStats(change func(*Stats)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change(&t.stats)
 }
 
-func (t *Target) note(r *http.Request, kind TargetKind, delta Execution) {
+func (t *Target) recordExecution(r *http.Request, kind TargetKind, delta Execution) {
 	delta.Kind = kind.Name
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.stats.Arrived += delta.Arrived
 	if attempt := r.Header.Get(RequestHeader); attempt != "" {
-		t.done.ByRequest[attempt] = addExecution(t.done.ByRequest[attempt], delta)
+		t.executions.ByRequest[attempt] = addExecution(t.executions.ByRequest[attempt], delta)
 	}
 	if key := r.Header.Get(keyHeader); key != "" {
-		t.done.ByKey[key] = addExecution(t.done.ByKey[key], delta)
+		t.executions.ByKey[key] = addExecution(t.executions.ByKey[key], delta)
 	}
 }
 
-// newClientFrom returns a client whose calls come from the IP number that a
-// target listens on, as they do on a host of its own. On loopback they would
-// come from 127.0.0.1 otherwise, and the node would not know its own target.
+// newClientFrom returns a client whose calls originate from the IP address that a target
+// listens on, as they would on a separate host. On loopback their source would otherwise
+// be 127.0.0.1, and the node would not recognise its own target.
 func newClientFrom(listen string, idle int) *http.Client {
 	client := newClient(idle)
 	host, _, err := net.SplitHostPort(listen)
@@ -389,9 +391,9 @@
 	return client
 }
 
-// newClient returns a client that neither follows redirects nor looks for a
-// proxy. net/http itself repeats a GET whose reused connection turns out to be
-// closed; only kinds that are safe to repeat are sent so.
+// newClient returns a client that neither follows redirects nor uses a proxy. net/http
+// itself retries a GET whose reused connection turns out to be closed; only kinds that
+// are safe to repeat are sent as GET.
 func newClient(idle int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
--- a/internal/drill/target_test.go
+++ b/internal/drill/target_test.go
@@ -22,40 +22,42 @@
 
 // targetScript drives one target through the commands of a data file.
 type targetScript struct {
-	clock  *stepClock
-	target *Target
-	door   http.Handler
-	node   *httptest.Server
-	open   map[string]*openCall
-	queued int
+	clock   *stepClock
+	target  *Target
+	handler http.Handler
+	node    *httptest.Server
+	open    map[string]*openCall
+	queued  int
 
 	mu sync.Mutex
-	// status holds what the node answers, by method and path.
-	status map[string]int
-	asked  []string
+	// status holds the status that the fake node answers, by method and path.
+	status   map[string]int
+	requests []string
 }
 
-// openCall is a call that the target has not answered.
+// openCall is a call that the target has not answered yet.
 type openCall struct {
 	cancel   context.CancelFunc
 	recorder *httptest.ResponseRecorder
-	// ended receives how the handler ended.
-	ended chan string
-	work  wait
+	// result receives a description of the answer when the handler ends.
+	result chan string
+	work   pendingWait
 }
 
-// TestTarget runs the scripts. The commands are
+// TestTarget runs the scripts in testdata/target. The commands are
 //
-//	config                     sets up the target; the input is its settings
-//	send REQUEST METHOD PATH   sends a call and says how far it comes
-//	work REQUEST               ends the service time of a call
-//	await REQUEST              says how far a call comes now
-//	cancel REQUEST             takes the caller away and waits for the call's end
-//	leave REQUEST              takes the caller away
-//	advance DURATION           moves the clock
+//	config                     creates the target; the input is its settings
+//	send REQUEST METHOD PATH   sends a call, and prints whether it is answered, works or
+//	                           waits; NAME:VALUE arguments after PATH are headers
+//	work REQUEST               ends the service time of a call and prints its answer
+//	await REQUEST              prints the next state of a call, as send does
+//	cancel REQUEST             disconnects the caller and prints the answer
+//	leave REQUEST              disconnects the caller
+//	advance DURATION           advances the clock
 //	node METHOD PATH STATUS    sets what the target's node answers
-//	calls                      prints what the node was asked
-//	faults, health, stats, executions
+//	calls                      prints the calls that the node received
+//	faults                     sets the faults of the input
+//	health, stats, executions  print what the target answers
 func TestTarget(t *testing.T) {
 	datadriven.Walk(t, "testdata/target", func(t *testing.T, path string) {
 		s := &targetScript{clock: newStepClock(), status: map[string]int{}, open: map[string]*openCall{}}
@@ -81,7 +83,7 @@
 		is.New(t).NoErr(yaml.Unmarshal([]byte(d.Input), &config))
 		config.NodeAddress = strings.TrimPrefix(s.node.URL, "http://")
 		s.target = NewTarget(config, s.clock)
-		s.door = s.target.Handler()
+		s.handler = s.target.Handler()
 	case "send":
 		return s.send(args[0], args[1], args[2], args[3:])
 	case "work":
@@ -109,8 +111,8 @@
 	case "calls":
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		text := strings.Join(s.asked, "\n")
-		s.asked = nil
+		text := strings.Join(s.requests, "\n")
+		s.requests = nil
 		return text
 	case "faults":
 		return s.plain(http.MethodPost, "/-/faults", d.Input)
@@ -128,7 +130,7 @@
 
 func (s *targetScript) send(request, method, path string, headers []string) string {
 	ctx, cancel := context.WithCancel(context.Background())
-	call := &openCall{cancel: cancel, recorder: httptest.NewRecorder(), ended: make(chan string, 1)}
+	call := &openCall{cancel: cancel, recorder: httptest.NewRecorder(), result: make(chan string, 1)}
 	s.open[request] = call
 	r := httptest.NewRequestWithContext(ctx, method, path, nil)
 	r.Header.Set(RequestHeader, request)
@@ -140,23 +142,23 @@
 	go func() {
 		defer func() {
 			if recover() != nil {
-				call.ended <- fmt.Sprintf("cut after %d bytes", call.recorder.Body.Len())
+				call.result <- fmt.Sprintf("cut after %d bytes", call.recorder.Body.Len())
 				return
 			}
-			call.ended <- describe(call.recorder)
+			call.result <- describe(call.recorder)
 		}()
-		s.door.ServeHTTP(call.recorder, r)
+		s.handler.ServeHTTP(call.recorder, r)
 	}()
 	return s.settle(call)
 }
 
-// settle waits until a call has its answer, works, or waits in the line.
+// settle waits until a call is answered, works, or waits in the queue.
 func (s *targetScript) settle(call *openCall) string {
 	for {
 		select {
-		case ended := <-call.ended:
+		case result := <-call.result:
 			s.queued = s.waiting()
-			return ended
+			return result
 		case call.work = <-s.clock.waits:
 			s.queued = s.waiting()
 			return "works for " + call.work.d.String()
@@ -170,12 +172,12 @@
 	}
 }
 
-// end waits for the answer. Another call may begin its work meanwhile; its
-// wait stays for the await command.
+// end waits for the answer. If another call starts its work meanwhile, its wait remains
+// for the await command.
 func (s *targetScript) end(call *openCall) string {
-	ended := <-call.ended
+	result := <-call.result
 	s.queued = s.waiting()
-	return ended
+	return result
 }
 
 func (s *targetScript) waiting() int {
@@ -186,7 +188,7 @@
 
 func (s *targetScript) plain(method, path, body string) string {
 	recorder := httptest.NewRecorder()
-	s.door.ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
+	s.handler.ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
 	return strings.TrimSpace(fmt.Sprintf("%d %s", recorder.Code, recorder.Body.String()))
 }
 
@@ -207,13 +209,13 @@
 	name := r.Method + " " + r.URL.Path
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked = append(s.asked, name+" "+r.Header.Get(RequestHeader)+" "+r.Header.Get(contextHeader))
+	s.requests = append(s.requests, name+" "+r.Header.Get(RequestHeader)+" "+r.Header.Get(contextHeader))
 	if status := s.status[name]; status != 0 {
 		w.WriteHeader(status)
 	}
 }
 
-// describe says what a caller makes of an answer to "<request>".
+// describe returns the status of an answer and, for a success, the contents of its body.
 func describe(recorder *httptest.ResponseRecorder) string {
 	if recorder.Code != http.StatusOK {
 		return strconv.Itoa(recorder.Code)
@@ -222,5 +224,5 @@
 	if err := json.Unmarshal(recorder.Body.Bytes(), &answer); err != nil {
 		return err.Error()
 	}
-	return fmt.Sprintf("200 request=%s kind=%s whole=%t", answer.Request, answer.Kind, answer.Whole())
+	return fmt.Sprintf("200 request=%s kind=%s whole=%t", answer.Request, answer.Kind, answer.Intact())
 }
--- a/internal/drill/trace.go
+++ b/internal/drill/trace.go
@@ -12,48 +12,49 @@
 const millionths = 1_000_000
 
 type (
-	// Phase is a stretch of a trace with one rate of arrivals.
+	// Phase is a part of a trace with a constant mean rate of arrivals.
 	Phase struct {
 		Name     string        `yaml:"name" json:"name"`
 		Duration time.Duration `yaml:"duration" json:"duration_ns"`
-		// Rate is the mean number of whole requests a second.
+		// Rate is the mean number of caller requests per second.
 		Rate float64 `yaml:"rate" json:"rate"`
-		// Mix stands in place of the trace's mix when it is given.
+		// Mix overrides the mix of the trace when it is set.
 		Mix map[string]float64 `yaml:"mix,omitempty" json:"mix,omitempty"`
 	}
 
-	// Fault switches targets, wires or the platform at a time of the trace.
+	// Fault sets the faults of targets, wires or the platform at a time of the trace.
 	Fault struct {
 		At time.Duration `yaml:"at" json:"at_ns"`
-		// Targets holds names of targets or of services.
+		// Targets holds names of targets or services.
 		Targets []string `yaml:"targets,omitempty" json:"targets,omitempty"`
-		// Wires holds names of wires: those of their hosts, or platform-REGION.
-		Wires    []string       `yaml:"wires,omitempty" json:"wires,omitempty"`
-		Platform bool           `yaml:"platform,omitempty" json:"platform,omitempty"`
-		Switch   map[string]any `yaml:"switch" json:"switch"`
+		// Wires holds names of wires: the name of the host, or platform-REGION.
+		Wires    []string `yaml:"wires,omitempty" json:"wires,omitempty"`
+		Platform bool     `yaml:"platform,omitempty" json:"platform,omitempty"`
+		// Values is the body of the request to /-/faults.
+		Values map[string]any `yaml:"switch" json:"switch"`
 	}
 
-	// Trigger is the time within a trace in which the surge or fault lasts.
-	// Recovery is counted from its end.
+	// Trigger is the part of a trace in which the surge or fault lasts. The recovery
+	// time is measured from its end.
 	Trigger struct {
 		From time.Duration `yaml:"from" json:"from_ns"`
 		To   time.Duration `yaml:"to" json:"to_ns"`
 	}
 
-	// Arrival is one whole request of a trace.
+	// Arrival is one caller request of a trace.
 	Arrival struct {
 		ID    string        `json:"id"`
 		At    time.Duration `json:"at_ns"`
 		Phase string        `json:"phase"`
 		Kind  string        `json:"kind"`
-		// Entry is the index of the first node that the caller asks; it asks
-		// the following ones when it repeats.
+		// Entry is the index of the node to which the caller sends its first attempt.
+		// Each retry goes to the next node.
 		Entry int `json:"entry"`
 	}
 )
 
-// NewTrace draws the arrivals of a trace. They are Poisson arrivals: the gaps
-// are exponential and independent of any answer. The same seed draws the same
+// NewTrace draws the arrivals of a trace. They form a Poisson process (open-loop load):
+// the gaps are exponential and independent of any answer. The same seed gives the same
 // trace.
 func NewTrace(config LoadConfig) []Arrival {
 	random := rand.New(rand.NewPCG(config.Seed, 0))
@@ -84,33 +85,33 @@
 	return arrivals
 }
 
-// WriteTrace keeps a trace in a file.
+// WriteTrace writes a trace to a file.
 func WriteTrace(path string, arrivals []Arrival) error {
 	text, err := json.Marshal(arrivals)
 	if err != nil {
-		return badTrace.Wrap(err, "write %s", path)
+		return badTraceError.Wrap(err, "write %s", path)
 	}
 	if err := os.WriteFile(path, text, 0o644); err != nil {
-		return badTrace.Wrap(err, "write trace")
+		return badTraceError.Wrap(err, "write trace")
 	}
 	return nil
 }
 
-// ReadTrace reads a trace that WriteTrace kept.
+// ReadTrace reads a trace that WriteTrace has written.
 func ReadTrace(path string) ([]Arrival, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, badTrace.Wrap(err, "read trace")
+		return nil, badTraceError.Wrap(err, "read trace")
 	}
 	var arrivals []Arrival
 	if err := json.Unmarshal(text, &arrivals); err != nil {
-		return nil, badTrace.Wrap(err, "%s", path)
+		return nil, badTraceError.Wrap(err, "%s", path)
 	}
 	return arrivals, nil
 }
 
-// drawKind draws a kind by weight. Kinds are taken in the order of their names,
-// since the order of a map changes from run to run.
+// drawKind draws a kind by weight. It sorts the kinds by name, since the iteration order
+// of a map changes from run to run.
 func drawKind(random *rand.Rand, mix map[string]float64) string {
 	names := make([]string, 0, len(mix))
 	total := 0.0
@@ -122,8 +123,8 @@
 		return ""
 	}
 	slices.Sort(names)
-	// The sum of weights depends in its last bits on the order of the map, so
-	// the draw is scaled to a whole number of millionths.
+	// The last bits of the sum of weights depend on the iteration order of the map, so
+	// the draw is rounded to millionths.
 	left := float64(random.IntN(millionths)) / millionths * total
 	for _, name := range names {
 		left -= mix[name]
--- a/internal/drill/trace_test.go
+++ b/internal/drill/trace_test.go
@@ -27,7 +27,7 @@
 		}
 		arrivals := NewTrace(config)
 		if !slices.Equal(arrivals, NewTrace(config)) {
-			t.Fatal("the same seed drew another trace")
+			t.Fatal("the same seed gave a different trace")
 		}
 		start, next, mean := time.Duration(0), 0, 0.0
 		for _, phase := range config.Phases {
@@ -44,9 +44,10 @@
 		if next != len(arrivals) {
 			t.Fatal("arrivals are out of order")
 		}
-		// Seven standard deviations of a Poisson number, and a few for small means.
+		// The tolerance is seven standard deviations of a Poisson variable, plus 10 for
+		// small means.
 		if math.Abs(float64(len(arrivals))-mean) > 7*math.Sqrt(mean)+10 {
-			t.Fatalf("%d arrivals, and %f were meant", len(arrivals), mean)
+			t.Fatalf("%d arrivals; the mean is %f", len(arrivals), mean)
 		}
 	})
 }
@@ -58,7 +59,7 @@
 	arrivals := NewTrace(config)
 	path := filepath.Join(t.TempDir(), "trace.json")
 	is.NoErr(WriteTrace(path, arrivals))
-	kept, err := ReadTrace(path)
+	read, err := ReadTrace(path)
 	is.NoErr(err)
-	is.Equal(kept, arrivals)
+	is.Equal(read, arrivals)
 }
--- a/internal/drill/wire.go
+++ b/internal/drill/wire.go
@@ -11,30 +11,32 @@
 )
 
 type (
-	// WireConfig is the settings of one wire.
+	// WireConfig holds the settings of one wire.
 	WireConfig struct {
 		Name   string `yaml:"name"`
 		Listen string `yaml:"listen"`
-		// To is the address that connections are forwarded to.
+		// To is the address to which connections are forwarded.
 		To            string `yaml:"to"`
 		ControlListen string `yaml:"control_listen"`
-		// Hosts names the hosts that connections come from, by IP number.
+		// Hosts maps the source IP address of a connection to the name of its host.
 		Hosts map[string]string `yaml:"hosts,omitempty"`
 	}
 
-	// WireFaults are the switches of a wire; without any, it passes all bytes.
+	// WireFaults are the injected faults of a wire. With the zero value the wire passes
+	// all bytes.
 	WireFaults struct {
-		// SilentTo holds what goes to the address that is forwarded to, and
-		// SilentFrom what comes from there, until the switch is off. As on a
-		// lossy path, neither side learns of it, nor that the other has closed.
+		// SilentTo holds back the bytes to the destination, and SilentFrom those from
+		// it, until the fault is cleared. As on a path that drops packets, neither side
+		// is told of the fault or learns that the other side has closed.
 		SilentTo   bool `json:"silent_to"`
 		SilentFrom bool `json:"silent_from"`
-		// OpenOnly leaves connections alone that are opened from now on.
+		// OpenOnly limits SilentTo and SilentFrom to connections that are already open
+		// when the faults are set.
 		OpenOnly bool `json:"open_only"`
-		// Cut resets all connections, and new ones at once.
+		// Cut resets all open connections, and new ones as soon as they are accepted.
 		Cut bool `json:"cut"`
-		// From limits the switches to connections from these hosts, by name;
-		// without any, they hold for all.
+		// From limits the faults to connections from the named hosts; empty means all
+		// connections.
 		From []string `json:"from"`
 	}
 
@@ -42,30 +44,32 @@
 	WireStats struct {
 		Opened int `json:"opened"`
 		Open   int `json:"open"`
-		// Silenced counts the open connections that are held in any direction.
+		// Silenced counts the open connections that are held back in either direction.
 		Silenced int `json:"silenced"`
 	}
 
-	// Wire forwards TCP connections between two processes, and can go silent
-	// as a path between hosts does. It is safe for concurrent use.
+	// Wire is a TCP proxy between two processes that simulates faults of the network
+	// path, such as traffic that stalls silently. It is safe for concurrent use.
 	Wire struct {
 		config WireConfig
 
 		mu     sync.Mutex
 		faults WireFaults
-		lines  map[*line]bool
+		conns  map[*wireConn]bool
 		opened int
 	}
 
-	// line is one connection through the wire, and its way in each direction.
-	line struct {
-		near, far net.Conn
-		host      string
-		to, from  hold
+	// wireConn is one connection through the wire: the accepted connection (near), the
+	// dialled one (far), and a gate for each direction.
+	wireConn struct {
+		near, far  net.Conn
+		sourceHost string
+		to, from   gate
 	}
 
-	// hold makes the bytes of one direction wait.
-	hold struct {
+	// gate blocks the bytes of one direction while release is set; release is closed
+	// when the gate opens.
+	gate struct {
 		mu      sync.Mutex
 		release chan struct{}
 	}
@@ -76,12 +80,12 @@
 	wireChunkBytes  = 32 << 10
 )
 
-// NewWire returns a wire that passes all bytes.
+// NewWire returns a wire without faults.
 func NewWire(config WireConfig) *Wire {
-	return &Wire{config: config, lines: map[*line]bool{}}
+	return &Wire{config: config, conns: map[*wireConn]bool{}}
 }
 
-// Handler returns the switches and counters.
+// Handler returns the HTTP handler for faults and counters.
 func (w *Wire) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /-/faults", func(rw http.ResponseWriter, r *http.Request) {
@@ -90,14 +94,14 @@
 			http.Error(rw, err.Error(), http.StatusBadRequest)
 			return
 		}
-		w.Switch(faults)
+		w.SetFaults(faults)
 		rw.WriteHeader(http.StatusNoContent)
 	})
 	mux.HandleFunc("GET /-/stats", func(rw http.ResponseWriter, _ *http.Request) { writeJSON(rw, w.Stats(), nil) })
 	return mux
 }
 
-// Serve forwards connections until the context ends, and then closes all.
+// Serve forwards connections until the context ends, and then resets all of them.
 func (w *Wire) Serve(ctx context.Context) error {
 	listener, err := net.Listen("tcp", w.config.Listen)
 	if err != nil {
@@ -106,18 +110,18 @@
 	return w.forward(ctx, listener)
 }
 
-// Switch sets the faults, on the open connections as well.
-func (w *Wire) Switch(faults WireFaults) {
+// SetFaults replaces the faults, on open connections as well.
+func (w *Wire) SetFaults(faults WireFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = faults
-	for l := range w.lines {
-		meant := faults.of(l.host)
-		if meant.Cut {
-			// What is held is lost with the connection.
-			l.reset()
+	for c := range w.conns {
+		hostFaults := faults.forHost(c.sourceHost)
+		if hostFaults.Cut {
+			// The bytes that are held back are lost with the connection.
+			c.reset()
 		}
-		l.set(meant)
+		c.set(hostFaults)
 	}
 }
 
@@ -125,9 +129,9 @@
 func (w *Wire) Stats() WireStats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	stats := WireStats{Opened: w.opened, Open: len(w.lines)}
-	for l := range w.lines {
-		if l.to.held() != nil || l.from.held() != nil {
+	stats := WireStats{Opened: w.opened, Open: len(w.conns)}
+	for c := range w.conns {
+		if c.to.releaseSignal() != nil || c.from.releaseSignal() != nil {
 			stats.Silenced++
 		}
 	}
@@ -137,8 +141,8 @@
 func (w *Wire) forward(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
-	// What is held may go on, so that no connection outlives the wire.
-	defer w.Switch(WireFaults{Cut: true})
+	// Resetting the connections opens their gates, so that no connection outlives the wire.
+	defer w.SetFaults(WireFaults{Cut: true})
 	for {
 		near, err := listener.Accept()
 		if ctx.Err() != nil {
@@ -151,10 +155,10 @@
 	}
 }
 
-// open connects the other side and copies both ways until either ends.
+// open dials the destination and copies in both directions until either side closes.
 func (w *Wire) open(ctx context.Context, near net.Conn) {
-	host := w.host(near)
-	if w.current().of(host).Cut {
+	host := w.sourceHost(near)
+	if w.currentFaults().forHost(host).Cut {
 		reset(near)
 		return
 	}
@@ -164,80 +168,84 @@
 		reset(near)
 		return
 	}
-	l := &line{near: near, far: far, host: host}
-	if !w.add(l) {
-		l.reset()
+	c := &wireConn{near: near, far: far, sourceHost: host}
+	if !w.add(c) {
+		c.reset()
 		return
 	}
-	var ways sync.WaitGroup
-	ways.Go(func() { pump(&l.to, near, far) })
-	ways.Go(func() { pump(&l.from, far, near) })
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { copyThroughGate(&c.to, near, far) })
+	directions.Go(func() { copyThroughGate(&c.from, far, near) })
+	directions.Wait()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.lines, l)
+	delete(w.conns, c)
 }
 
-// add puts a new connection under the switches, unless the wire is cut.
-func (w *Wire) add(l *line) bool {
+// add registers a new connection and applies the faults to it. It returns false when
+// the wire is cut.
+func (w *Wire) add(c *wireConn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	meant := w.faults.of(l.host)
-	if meant.Cut {
+	hostFaults := w.faults.forHost(c.sourceHost)
+	if hostFaults.Cut {
 		return false
 	}
-	if !meant.OpenOnly {
-		l.set(meant)
+	if !hostFaults.OpenOnly {
+		c.set(hostFaults)
 	}
 	w.opened++
-	w.lines[l] = true
+	w.conns[c] = true
 	return true
 }
 
-func (w *Wire) current() WireFaults {
+func (w *Wire) currentFaults() WireFaults {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.faults
 }
 
-// host names the host that a connection comes from, if it is known.
-func (w *Wire) host(near net.Conn) string {
+// sourceHost returns the name of the host from which a connection comes, or "" when it
+// is unknown.
+func (w *Wire) sourceHost(near net.Conn) string {
 	ip, _, _ := net.SplitHostPort(near.RemoteAddr().String())
 	return w.config.Hosts[ip]
 }
 
-// of returns the switches that hold for connections from a host.
-func (f WireFaults) of(host string) WireFaults {
+// forHost returns the faults that apply to connections from a host.
+func (f WireFaults) forHost(host string) WireFaults {
 	if len(f.From) > 0 && !slices.Contains(f.From, host) {
 		return WireFaults{}
 	}
 	return f
 }
 
-func (l *line) set(faults WireFaults) {
-	l.to.set(faults.SilentTo && !faults.Cut)
-	l.from.set(faults.SilentFrom && !faults.Cut)
+func (c *wireConn) set(faults WireFaults) {
+	c.to.set(faults.SilentTo && !faults.Cut)
+	c.from.set(faults.SilentFrom && !faults.Cut)
 }
 
-func (l *line) reset() {
-	reset(l.near)
-	reset(l.far)
+func (c *wireConn) reset() {
+	reset(c.near)
+	reset(c.far)
 }
 
-// pump copies one direction. The end of the source is held like its bytes.
-func pump(h *hold, source, sink net.Conn) {
+// copyThroughGate copies one direction. The gate holds back the end of the source as it
+// does its bytes.
+func copyThroughGate(g *gate, source, sink net.Conn) {
 	defer func() { _ = sink.Close() }()
 	chunk := make([]byte, wireChunkBytes)
 	for {
 		n, err := source.Read(chunk)
-		h.wait()
-		if _, failed := sink.Write(chunk[:n]); failed != nil || err != nil {
+		g.wait()
+		if _, writeErr := sink.Write(chunk[:n]); writeErr != nil || err != nil {
 			return
 		}
 	}
 }
 
-// reset closes a connection so that the other side sees an error and no end.
+// reset closes a connection with a TCP reset, so that the peer sees an error and not an
+// orderly end.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -245,26 +253,26 @@
 	_ = conn.Close()
 }
 
-func (h *hold) set(held bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if held && h.release == nil {
-		h.release = make(chan struct{})
+func (g *gate) set(held bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if held && g.release == nil {
+		g.release = make(chan struct{})
 	}
-	if !held && h.release != nil {
-		close(h.release)
-		h.release = nil
+	if !held && g.release != nil {
+		close(g.release)
+		g.release = nil
 	}
 }
 
-func (h *hold) held() chan struct{} {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.release
+func (g *gate) releaseSignal() chan struct{} {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.release
 }
 
-func (h *hold) wait() {
-	if release := h.held(); release != nil {
+func (g *gate) wait() {
+	if release := g.releaseSignal(); release != nil {
 		<-release
 	}
 }
--- a/internal/drill/wire_test.go
+++ b/internal/drill/wire_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// silence is how long a test listens for bytes that must not come.
-	silence = 50 * time.Millisecond
-	// patience ends a test whose bytes never come.
-	patience = 5 * time.Second
+	// quietPeriod is how long a test waits for bytes that must not arrive.
+	quietPeriod = 50 * time.Millisecond
+	// readTimeout fails a test whose bytes do not arrive.
+	readTimeout = 5 * time.Second
 )
 
-// wirePair is a wire, and the connections that arrive at its far end.
+// wirePair is a wire with the connections that arrive at its destination.
 type wirePair struct {
 	wire    *Wire
 	address string
@@ -52,7 +52,7 @@
 	return p
 }
 
-// open dials through the wire and returns both ends.
+// open dials through the wire and returns both ends of the connection.
 func (p *wirePair) open(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	return p.openFrom(t, "127.0.0.1")
@@ -68,7 +68,7 @@
 		_ = near.Close()
 		_ = far.Close()
 	})
-	// A byte each way shows that the wire has both directions under way.
+	// A byte in each direction shows that the wire forwards both.
 	passes(t, near, far)
 	passes(t, far, near)
 	return near, far
@@ -89,25 +89,26 @@
 func receive(t *testing.T, to net.Conn) {
 	t.Helper()
 	is := is.New(t)
-	is.NoErr(to.SetReadDeadline(time.Now().Add(patience)))
+	is.NoErr(to.SetReadDeadline(time.Now().Add(readTimeout)))
 	_, err := io.ReadFull(to, make([]byte, 1))
 	is.NoErr(err)
 }
 
-// holds requires that a byte is on its way and does not arrive.
+// holds sends a byte and requires that neither the byte nor an end of the connection
+// arrives.
 func holds(t *testing.T, from, to net.Conn) {
 	t.Helper()
 	is := is.New(t)
 	send(t, from)
-	is.NoErr(to.SetReadDeadline(time.Now().Add(silence)))
+	is.NoErr(to.SetReadDeadline(time.Now().Add(quietPeriod)))
 	_, err := to.Read(make([]byte, 1))
-	is.True(errors.Is(err, os.ErrDeadlineExceeded)) // a byte came through, or an end
+	is.True(errors.Is(err, os.ErrDeadlineExceeded)) // a byte or an end of the connection arrived
 }
 
-// ends reports whether a connection ends with no further byte.
+// ends reports whether a connection ends without any further byte.
 func ends(t *testing.T, conn net.Conn) bool {
 	t.Helper()
-	is.New(t).NoErr(conn.SetReadDeadline(time.Now().Add(patience)))
+	is.New(t).NoErr(conn.SetReadDeadline(time.Now().Add(readTimeout)))
 	_, err := conn.Read(make([]byte, 1))
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
@@ -116,15 +117,15 @@
 	is := is.New(t)
 	p := newWirePair(t)
 	near, far := p.open(t)
-	p.wire.Switch(WireFaults{SilentTo: true})
+	p.wire.SetFaults(WireFaults{SilentTo: true})
 	holds(t, near, far)
 	passes(t, far, near)
-	p.wire.Switch(WireFaults{SilentFrom: true})
-	receive(t, far) // what was held arrives late
+	p.wire.SetFaults(WireFaults{SilentFrom: true})
+	receive(t, far) // the byte that was held back arrives late
 	holds(t, far, near)
 	passes(t, near, far)
 	is.Equal(p.wire.Stats(), WireStats{Opened: 1, Open: 1, Silenced: 1})
-	p.wire.Switch(WireFaults{})
+	p.wire.SetFaults(WireFaults{})
 	receive(t, near)
 }
 
@@ -132,7 +133,7 @@
 	is := is.New(t)
 	p := newWirePair(t)
 	near, far := p.open(t)
-	p.wire.Switch(WireFaults{SilentTo: true, SilentFrom: true, OpenOnly: true})
+	p.wire.SetFaults(WireFaults{SilentTo: true, SilentFrom: true, OpenOnly: true})
 	p.open(t)
 	holds(t, near, far)
 	holds(t, far, near)
@@ -143,7 +144,7 @@
 	p := newWirePair(t)
 	near, far := p.openFrom(t, "127.0.0.2")
 	otherNear, otherFar := p.open(t)
-	p.wire.Switch(WireFaults{SilentTo: true, From: []string{"orders-1"}})
+	p.wire.SetFaults(WireFaults{SilentTo: true, From: []string{"orders-1"}})
 	holds(t, near, far)
 	passes(t, otherNear, otherFar)
 	p.open(t)
@@ -153,12 +154,12 @@
 	is := is.New(t)
 	p := newWirePair(t)
 	near, far := p.open(t)
-	p.wire.Switch(WireFaults{SilentTo: true, SilentFrom: true})
+	p.wire.SetFaults(WireFaults{SilentTo: true, SilentFrom: true})
 	is.NoErr(near.Close())
-	is.NoErr(far.SetReadDeadline(time.Now().Add(silence)))
+	is.NoErr(far.SetReadDeadline(time.Now().Add(quietPeriod)))
 	_, err := far.Read(make([]byte, 1))
-	is.True(errors.Is(err, os.ErrDeadlineExceeded)) // the end came through
-	p.wire.Switch(WireFaults{})
+	is.True(errors.Is(err, os.ErrDeadlineExceeded)) // the end of the connection arrived
+	p.wire.SetFaults(WireFaults{})
 	is.True(ends(t, far))
 }
 
@@ -166,17 +167,17 @@
 	is := is.New(t)
 	p := newWirePair(t)
 	near, far := p.open(t)
-	p.wire.Switch(WireFaults{SilentTo: true})
+	p.wire.SetFaults(WireFaults{SilentTo: true})
 	holds(t, near, far)
-	p.wire.Switch(WireFaults{Cut: true})
+	p.wire.SetFaults(WireFaults{Cut: true})
 	is.True(ends(t, near))
-	is.True(ends(t, far)) // the held byte came, or the connection is open
-	// The reset of a new connection may come before the dial has returned.
+	is.True(ends(t, far)) // the held byte arrived, or the connection is still open
+	// The reset of a new connection may arrive before the dial has returned.
 	again, err := net.Dial("tcp", p.address)
 	if err == nil {
-		is.True(ends(t, again)) // a new connection passes
+		is.True(ends(t, again)) // a new connection was not reset
 		_ = again.Close()
 	}
-	p.wire.Switch(WireFaults{})
+	p.wire.SetFaults(WireFaults{})
 	p.open(t)
 }
--- a/internal/drill/work.go
+++ b/internal/drill/work.go
@@ -2,56 +2,57 @@
 
 import "github.com/dandelionfield/dandelionfield/pkg/schema"
 
-// requestWork is what all targets did for one whole request.
+// requestWork holds the executions of all targets for one request of a caller.
 type requestWork struct {
-	// needed is how many runs of each kind its answer takes.
+	// needed is the number of runs of each kind that a good answer needs.
 	needed map[string]int
 	byKind map[string]Execution
-	// arrived counts the calls at targets by attempt and kind.
+	// arrived counts the calls that reached targets, by attempt and kind.
 	arrived map[string]map[string]int
 	calls   int
 	kind    *schema.Kind
 }
 
-// addExecutions counts what ran. A request of a kind that may never repeat ran
-// double when its work began twice under any of its attempts. An attempt whose
-// answer said "not run" was false when any target began work under its name.
+// addExecutions adds the executions to the report. A request counts as a double run when
+// the work of a kind that may never be repeated started more than once over all its
+// attempts. An attempt counts as a false "not run" when its answer said so and any target
+// had started work for it.
 func (r *Report) addExecutions(mesh *schema.Set, outcomes []Outcome, done []Executions) {
 	requests := make(map[string]*requestWork, len(outcomes))
-	refused := map[string]bool{}
+	toldNotRun := map[string]bool{}
 	for _, outcome := range outcomes {
 		requests[outcome.ID] = newRequestWork(mesh, outcome)
-		for i, try := range outcome.Tries {
-			if try.notRun() {
-				refused[attemptName(outcome.ID, i)] = true
+		for i, attempt := range outcome.Attempts {
+			if attempt.toldNotRun() {
+				toldNotRun[attemptID(outcome.ID, i)] = true
 			}
 		}
 	}
-	ranFalsely := map[string]bool{}
+	falseNotRun := map[string]bool{}
 	for _, target := range done {
 		for attempt, executions := range target.ByRequest {
-			request := requests[baseRequest(attempt)]
+			request := requests[requestID(attempt)]
 			if request == nil {
 				continue
 			}
 			for _, execution := range executions {
 				request.add(attempt, execution)
-				if refused[attempt] && execution.Runs > 0 {
-					ranFalsely[attempt] = true
+				if toldNotRun[attempt] && execution.Runs > 0 {
+					falseNotRun[attempt] = true
 				}
 			}
 		}
 	}
-	r.FalseNotRun = len(ranFalsely)
+	r.FalseNotRun = len(falseNotRun)
 	r.addWork(mesh, requests)
 }
 
 func (r *Report) addWork(mesh *schema.Set, requests map[string]*requestWork) {
 	calls := 0
 	for _, request := range requests {
-		r.MostRepeats = max(r.MostRepeats, request.repeats(mesh))
+		r.MaxRepeats = max(r.MaxRepeats, request.repeats(mesh))
 		calls += request.calls
-		r.MostCalls = max(r.MostCalls, request.calls)
+		r.MaxCalls = max(r.MaxCalls, request.calls)
 		for name, execution := range request.byKind {
 			r.WorkMS += execution.WorkMS
 			r.WastedMS += request.wastedMS(execution)
@@ -65,8 +66,8 @@
 	}
 }
 
-// newRequestWork returns the record of a request. One without a good answer
-// needed no work at all.
+// newRequestWork returns an empty record for a request. A request without a good answer
+// needed no work, so that all its work counts as wasted.
 func newRequestWork(mesh *schema.Set, outcome Outcome) *requestWork {
 	work := &requestWork{
 		needed:  map[string]int{},
@@ -93,8 +94,8 @@
 	w.byKind[execution.Kind] = sum
 }
 
-// wastedMS returns the work of the runs that the answer did not need. Of three
-// runs that took 900 ms together, where one was needed, 600 ms are wasted.
+// wastedMS returns the work of the runs that the answer did not need. If three runs took
+// 900 ms together and one was needed, 600 ms are wasted.
 func (w *requestWork) wastedMS(execution Execution) int64 {
 	extra := execution.Runs - w.needed[execution.Kind]
 	if extra <= 0 {
@@ -103,17 +104,17 @@
 	return execution.WorkMS * int64(extra) / int64(execution.Runs)
 }
 
-// repeats returns the most calls that one attempt of the caller repeated over
-// the whole chain. Each call of a kind accounts for one call of each kind that
-// it declares to call; what arrived beyond that was a repeat. A call that was
-// shed at once made none of its own, so there may have been more repeats.
+// repeats returns the largest number of repeated calls in the call chain of one caller
+// attempt. Each call of a kind accounts for one call of each kind that it declares to
+// call; calls beyond that are repeats. This is a lower bound, since a call that was shed
+// at once made no calls of its own.
 //
-// An order that arrived twice, and made its look-up three times in all, repeated
-// twice: itself once, and one of the two look-ups.
+// For example, an order that arrived twice and whose look-up arrived three times has two
+// repeats: one of the order, and one of the two expected look-ups.
 func (w *requestWork) repeats(mesh *schema.Set) int {
-	most := 0
+	maximum := 0
 	if w.kind == nil {
-		return most
+		return maximum
 	}
 	for _, arrived := range w.arrived {
 		expected := map[string]int{w.kind.Name: 1}
@@ -128,13 +129,13 @@
 		for name, count := range arrived {
 			repeats += max(count-expected[name], 0)
 		}
-		most = max(most, repeats)
+		maximum = max(maximum, repeats)
 	}
-	return most
+	return maximum
 }
 
-// walkCalls visits a kind and every call down its declared chain, a kind that is
-// called twice twice.
+// walkCalls visits a kind and every call of its declared call chain, and so visits a
+// kind that is called twice two times.
 func walkCalls(mesh *schema.Set, kind *schema.Kind, visit func(*schema.Kind)) {
 	visit(kind)
 	for _, name := range kind.Calls {
