--- a/internal/shell/client.go
+++ b/internal/shell/client.go
@@ -21,41 +21,42 @@
 	"github.com/dandelionfield/dandelionfield/internal/admin"
 )
 
-// client speaks to the resource API of one node.
+// client calls the resource API of one node.
 type client struct {
 	node  string
 	token string
 }
 
 const (
-	// answerTimeout bounds one request to the API, except a watch.
-	answerTimeout = 15 * time.Second
-	// dialTimeout bounds the opening of a connection.
+	// requestTimeout limits one API request. It does not apply to a watch.
+	requestTimeout = 15 * time.Second
+	// dialTimeout limits how long a connection may take to open.
 	dialTimeout = 3 * time.Second
-	// maxLineBytes bounds one line of a watch.
+	// maxLineBytes limits one line of a watch response.
 	maxLineBytes = 16 << 20
 )
 
-// transport opens a connection for each request: a command is short, and a
-// reused connection may have gone silent.
+// transport opens a new connection for each request: commands are short-lived, and a reused
+// connection may be dead without an error yet.
 var transport = &http.Transport{
 	DisableKeepAlives: true,
 	DialContext:       (&net.Dialer{Timeout: dialTimeout}).DialContext,
 }
 
-// addFlags adds the flags that name the node and the token.
+// addFlags adds the flags --node and --token.
 func (c *client) addFlags(command *cobra.Command) {
 	command.Flags().StringVar(&c.node, "node", "", "admin address of any node, as IP:PORT")
 	command.Flags().StringVar(&c.token, "token", "", "operator token (default: the environment variable "+tokenVariable+")")
 	_ = command.MarkFlagRequired("node")
 }
 
-// get fetches a path and decodes the answer.
+// get fetches path and decodes the JSON response into answer.
 func (c *client) get(ctx context.Context, path string, answer any) error {
 	return c.call(ctx, http.MethodGet, path, nil, answer)
 }
 
-// apply sends a document and tells a conflict from other failures.
+// apply sends a document of declarations to be accepted as the revision after expected. If
+// another revision is in force, it fails with Conflict.
 func (c *client) apply(ctx context.Context, document []byte, expected int64, dryRun bool) (admin.Applied, error) {
 	query := url.Values{
 		"expected": {strconv.FormatInt(expected, 10)},
@@ -66,7 +67,7 @@
 	return applied, err
 }
 
-// rollback asks for the document of a former revision as the next one.
+// rollback asks the node to make the document of a former revision the next revision.
 func (c *client) rollback(ctx context.Context, number, expected int64, dryRun bool) (admin.Applied, error) {
 	query := url.Values{
 		"revision": {strconv.FormatInt(number, 10)},
@@ -79,7 +80,7 @@
 }
 
 func (c *client) call(ctx context.Context, method, path string, body []byte, answer any) error {
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	response, err := c.send(ctx, method, path, body)
 	if err != nil {
@@ -88,13 +89,13 @@
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		return c.broken(method, err)
+		return c.connectionError(method, err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return c.refused(response.StatusCode, data)
+		return c.responseError(response.StatusCode, data)
 	}
 	if err := json.Unmarshal(data, answer); err != nil {
-		return Failed.New("%s does not answer like the admin address of a node: %v", c.node, err)
+		return Failed.New("the response of %s is not that of a node's admin API: %v", c.node, err)
 	}
 	return nil
 }
@@ -117,26 +118,26 @@
 	}
 	response, err := transport.RoundTrip(request)
 	if err != nil {
-		return nil, c.broken(method, err)
+		return nil, c.connectionError(method, err)
 	}
 	return response, nil
 }
 
-// broken explains a request without a whole answer: whether a change may have
-// been accepted depends on whether anything was sent.
-func (c *client) broken(method string, err error) error {
+// connectionError describes a request that got no complete response. A change cannot have
+// been accepted if the connection was never opened, and may have been accepted otherwise.
+func (c *client) connectionError(method string, err error) error {
 	var opening *net.OpError
 	if errors.As(err, &opening) && opening.Op == "dial" {
 		return Failed.New("no connection to %s, so nothing was sent; try another node (%v)", c.node, err)
 	}
 	if method == http.MethodGet {
-		return Failed.New("no whole answer from %s; try again or another node (%v)", c.node, err)
+		return Failed.New("no complete response from %s; try again or another node (%v)", c.node, err)
 	}
-	return Unanswered.New("no whole answer from %s, so the change may have been accepted; see `dandelionfield diff` before trying again (%v)", c.node, err)
+	return Unanswered.New("no complete response from %s, so the change may have been accepted; see `dandelionfield diff` before trying again (%v)", c.node, err)
 }
 
-// refused turns an answer that is an error into one of the command line.
-func (c *client) refused(status int, data []byte) error {
+// responseError converts an error response of the API into a typed command-line error.
+func (c *client) responseError(status int, data []byte) error {
 	var failure admin.Failure
 	if json.Unmarshal(data, &failure) != nil || failure.Error == "" {
 		return Failed.New("%s answered %d", c.node, status)
@@ -161,8 +162,8 @@
 	return Failed.New("%s", failure.Error)
 }
 
-// stream sends the lines of a watch into the channel and closes it when the
-// connection ends. It always ends with an error, which says why.
+// stream sends the events of a watch to the channel, and closes the channel when the
+// connection ends. It always returns an error, which says why the connection ended.
 func (c *client) stream(ctx context.Context, after int64, events chan<- admin.Event) error {
 	defer close(events)
 	response, err := c.send(ctx, http.MethodGet, fmt.Sprintf("/v1/watch?after=%d", after), nil)
@@ -172,14 +173,14 @@
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		data, _ := io.ReadAll(response.Body)
-		return c.refused(response.StatusCode, data)
+		return c.responseError(response.StatusCode, data)
 	}
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		var event admin.Event
 		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
-			return Failed.New("%s does not answer like the admin address of a node: %v", c.node, err)
+			return Failed.New("the response of %s is not that of a node's admin API: %v", c.node, err)
 		}
 		select {
 		case events <- event:
@@ -190,5 +191,5 @@
 	if err := lines.Err(); err != nil {
 		return err
 	}
-	return Failed.New("%s ended the watch", c.node)
+	return Failed.New("%s closed the watch connection", c.node)
 }
--- a/internal/shell/config.go
+++ b/internal/shell/config.go
@@ -25,7 +25,7 @@
 		changeOptions
 	}
 
-	// changeOptions holds the flags of every change of the configuration.
+	// changeOptions holds the flags that apply and rollback have in common.
 	changeOptions struct {
 		expected int64
 		dryRun   bool
@@ -35,14 +35,14 @@
 )
 
 const (
-	// unknownRevision is the expected revision when no flag gives one.
-	unknownRevision = -1
-	// waitTimeout is how long apply --wait waits unless told otherwise.
-	waitTimeout = 10 * time.Second
-	// resolvePolls is how often the node is asked for a change whose answer
-	// was lost.
+	// unspecifiedRevision is the value of --expected when the flag is not given.
+	unspecifiedRevision = -1
+	// defaultWaitTimeout is the default of --timeout.
+	defaultWaitTimeout = 10 * time.Second
+	// resolvePolls is how many times the node is polled for a change whose response was
+	// lost.
 	resolvePolls = 15
-	// pollInterval is the time between two looks at the status.
+	// pollInterval is the time between two polls of the revision or the status.
 	pollInterval = 200 * time.Millisecond
 
 	fileHelp = "directory or file with declarations; may be repeated"
@@ -56,7 +56,7 @@
 		Long:  "Check declarations, all files together, and settings of nodes, each file by itself.\nEvery problem is printed with its file, line and column.",
 		Example: `  dandelionfield check declarations/
   dandelionfield check --settings node.yaml`,
-		RunE: work(func(_ *cobra.Command, paths []string) error {
+		RunE: markFailed(func(_ *cobra.Command, paths []string) error {
 			if len(paths)+len(settings) == 0 {
 				return BadInput.New("name a directory, a file or --settings FILE to check")
 			}
@@ -72,7 +72,7 @@
 	var summary []string
 	if len(paths) > 0 {
 		set, err := schema.ParseFiles(paths...)
-		if err := collect(&problems, err); err != nil {
+		if err := collectProblems(&problems, err); err != nil {
 			return err
 		}
 		if set != nil {
@@ -82,7 +82,7 @@
 	}
 	for _, file := range settings {
 		node, err := setup.Load(file)
-		if err := collect(&problems, err); err != nil {
+		if err := collectProblems(&problems, err); err != nil {
 			return err
 		}
 		if node != nil {
@@ -105,15 +105,15 @@
 	return nil
 }
 
-// collect adds the problems of an error and returns any other error.
-func collect(to *place.Problems, err error) error {
+// collectProblems appends the problems that err holds, and returns any other error.
+func collectProblems(to *place.Problems, err error) error {
 	var problems place.Problems
 	if errors.As(err, &problems) {
 		*to = append(*to, problems...)
 		return nil
 	}
 	if err != nil {
-		return badFile(err)
+		return badFileError(err)
 	}
 	return nil
 }
@@ -130,7 +130,7 @@
 		Example: `  dandelionfield diff -f declarations/ --node 10.0.0.7:7102
   dandelionfield diff --revision 40 --node 10.0.0.7:7102`,
 		Args: cobra.NoArgs,
-		RunE: work(func(command *cobra.Command, _ []string) error {
+		RunE: markFailed(func(command *cobra.Command, _ []string) error {
 			if len(files) == 0 && revision == 0 {
 				return BadInput.New("name declarations with -f, or a former revision with --revision")
 			}
@@ -150,7 +150,7 @@
 	if len(files) > 0 {
 		after, err = schema.ParseFiles(files...)
 		if err != nil {
-			return badFile(err)
+			return badFileError(err)
 		}
 	} else {
 		_, after, err = a.revision(ctx, revision)
@@ -172,13 +172,13 @@
 	})
 }
 
-// inForce fetches the revision in force at the node.
-func (a *app) inForce(ctx context.Context) (listing, *schema.Set, error) {
+// inForce fetches the revision that is in force at the node.
+func (a *app) inForce(ctx context.Context) (resourceListing, *schema.Set, error) {
 	return a.revision(ctx, 0)
 }
 
-// revision fetches a former revision, or the one in force for 0.
-func (a *app) revision(ctx context.Context, number int64) (found listing, set *schema.Set, err error) {
+// revision fetches a former revision, or the one in force if number is 0.
+func (a *app) revision(ctx context.Context, number int64) (found resourceListing, set *schema.Set, err error) {
 	path := "/v1/resources"
 	if number != 0 {
 		path = fmt.Sprintf("/v1/revisions/%d", number)
@@ -205,7 +205,7 @@
 		Example: `  dandelionfield apply -f declarations/ --node 10.0.0.7:7102 --wait
   dandelionfield apply -f declarations/ --node 10.0.0.7:7102 --expected 41 --dry-run`,
 		Args: cobra.NoArgs,
-		RunE: work(func(command *cobra.Command, _ []string) error {
+		RunE: markFailed(func(command *cobra.Command, _ []string) error {
 			return a.apply(command.Context(), options)
 		}),
 	}
@@ -217,22 +217,22 @@
 
 func (o *changeOptions) addFlags(command *cobra.Command) {
 	flags := command.Flags()
-	flags.Int64Var(&o.expected, "expected", unknownRevision, "revision that must be in force; -1 for the one the node has now")
+	flags.Int64Var(&o.expected, "expected", unspecifiedRevision, "revision that must be in force; -1 for the one the node has now")
 	flags.BoolVar(&o.dryRun, "dry-run", false, "check everything and change nothing")
 	flags.BoolVar(&o.wait, "wait", false, "end when the revision is in force everywhere")
-	flags.DurationVar(&o.timeout, "timeout", waitTimeout, "how long --wait waits")
+	flags.DurationVar(&o.timeout, "timeout", defaultWaitTimeout, "how long --wait waits")
 }
 
 func (a *app) apply(ctx context.Context, options applyOptions) error {
 	set, err := schema.ParseFiles(options.files...)
 	if err != nil {
-		return badFile(err)
+		return badFileError(err)
 	}
-	// Such a set would delete everything that runs.
+	// Applying a set without services would delete every service in force.
 	if len(set.Services) == 0 {
 		return BadInput.New("%s: no services are declared; is it the right path?", strings.Join(options.files, ", "))
 	}
-	if options.expected == unknownRevision {
+	if options.expected == unspecifiedRevision {
 		listing, _, err := a.inForce(ctx)
 		if err != nil {
 			return err
@@ -241,16 +241,16 @@
 	}
 	applied, err := a.client.apply(ctx, set.Document(), options.expected, options.dryRun)
 	if errorx.IsOfType(err, Unanswered) && !options.dryRun {
-		applied, err = a.resolve(ctx, set, options.expected, err)
+		applied, err = a.resolveLostAnswer(ctx, set, options.expected, err)
 	}
 	if err != nil {
 		return err
 	}
-	return a.finish(ctx, applied, options.changeOptions)
+	return a.reportApplied(ctx, applied, options.changeOptions)
 }
 
-// finish prints what was accepted, and waits for it if asked to.
-func (a *app) finish(ctx context.Context, applied admin.Applied, options changeOptions) error {
+// reportApplied prints the accepted revision, and with --wait waits until it is in force.
+func (a *app) reportApplied(ctx context.Context, applied admin.Applied, options changeOptions) error {
 	if applied.Superseded > 0 {
 		return Conflict.New("revision %d was accepted, but revision %d has replaced it; look at it with `dandelionfield diff`, then apply again",
 			applied.Revision, applied.Superseded)
@@ -264,10 +264,10 @@
 	return a.waitInForce(ctx, applied.Revision, options.timeout)
 }
 
-// resolve finds out whether a change whose answer was lost was accepted: then
-// the node soon has a higher revision with what was declared. That nothing
-// shows up proves nothing, so the error stays.
-func (a *app) resolve(ctx context.Context, declared *schema.Set, expected int64, lost error) (admin.Applied, error) {
+// resolveLostAnswer finds out whether a change whose response was lost was accepted. If so,
+// the node soon has a higher revision with the same declarations. If no such revision
+// appears, the change may still have been accepted, so the original error is returned.
+func (a *app) resolveLostAnswer(ctx context.Context, declared *schema.Set, expected int64, lost error) (admin.Applied, error) {
 	for range resolvePolls {
 		select {
 		case <-ctx.Done():
@@ -295,10 +295,10 @@
 		_, _ = fmt.Fprintf(w, "dry run: nothing changed, revision %d stays in force\n", applied.Revision)
 		return
 	}
-	_, _ = fmt.Fprintf(w, "revision %d accepted, digest %s\n", applied.Revision, short(applied.Digest))
+	_, _ = fmt.Fprintf(w, "revision %d accepted, digest %s\n", applied.Revision, abbreviateDigest(applied.Digest))
 }
 
-// printChanges writes one line for each changed resource and field.
+// printChanges writes one line for each changed resource and each of its changed fields.
 func printChanges(w io.Writer, changes []schema.Change) {
 	if len(changes) == 0 {
 		_, _ = fmt.Fprintln(w, "no changes")
@@ -311,19 +311,19 @@
 				_, _ = fmt.Fprintf(w, "    %s: %s\n", field.Key, field.After)
 				continue
 			}
-			_, _ = fmt.Fprintf(w, "    %s: %s -> %s\n", field.Key, blank(field.Before), blank(field.After))
+			_, _ = fmt.Fprintf(w, "    %s: %s -> %s\n", field.Key, orNone(field.Before), orNone(field.After))
 		}
 	}
 }
 
-func blank(text string) string {
+func orNone(text string) string {
 	if text == "" {
 		return "(none)"
 	}
 	return text
 }
 
-// resourceYAML joins resources into one YAML text.
+// resourceYAML joins resources into one stream of YAML documents.
 func resourceYAML(resources [][]byte) []byte {
 	return bytes.Join(resources, []byte("---\n"))
 }
--- a/internal/shell/events_test.go
+++ b/internal/shell/events_test.go
@@ -17,12 +17,12 @@
 	"github.com/matryer/is"
 )
 
-// eventRow finds a row of the table of events, up to its meaning.
+// eventRow matches a row of the event table. Its first group is the row up to the meaning.
 var eventRow = regexp.MustCompile("(?m)^(\\| `\\w+` \\| \\w+ \\| \\w+ \\| [^|]* \\|) ([^|]+) \\|$")
 
-// logged returns the head of a table row for each event in a file, and what in
-// its log calls is not a literal.
-func logged(fset *token.FileSet, file *ast.File) (rows, unclear []string) {
+// logCalls returns the first columns of a table row for each log call in a file, and the
+// positions of the log calls whose event or keys are not literals.
+func logCalls(fset *token.FileSet, file *ast.File) (rows, nonLiteral []string) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		called, ok := node.(*ast.CallExpr)
 		if !ok {
@@ -35,25 +35,25 @@
 		where := fset.Position(called.Pos()).String()
 		event := literal(called.Args[0])
 		if event == "" || len(called.Args)%2 == 0 {
-			unclear = append(unclear, where+": the event is no literal, or a key has no value")
+			nonLiteral = append(nonLiteral, where+": the event is not a literal, or a key has no value")
 			return true
 		}
 		var keys []string
 		for i := 1; i < len(called.Args); i += 2 {
 			key := literal(called.Args[i])
 			if key == "" {
-				unclear = append(unclear, where+": a key is no literal")
+				nonLiteral = append(nonLiteral, where+": a key is not a literal")
 			}
 			keys = append(keys, "`"+key+"`")
 		}
 		rows = append(rows, fmt.Sprintf("| `%s` | %s | %s | %s |", event, level, file.Name.Name, strings.Join(keys, ", ")))
 		return true
 	})
-	return rows, unclear
+	return rows, nonLiteral
 }
 
-// levelOf returns the level of a call of a logger, which is a variable or field
-// that is named log.
+// levelOf returns the level of a log call. A log call is a call of a level method of a
+// variable or field named log, in any case.
 func levelOf(called *ast.CallExpr) (string, bool) {
 	method, ok := called.Fun.(*ast.SelectorExpr)
 	if !ok || !slices.Contains([]string{"Trace", "Debug", "Info", "Warn", "Error"}, method.Sel.Name) {
@@ -78,8 +78,8 @@
 	return text
 }
 
-// TestEventsPageHoldsEveryEvent reads all log calls of the program from its source
-// and compares them with the page, both ways.
+// TestEventsPageHoldsEveryEvent collects all log calls from the source code and checks that
+// docs/events.md lists exactly these.
 func TestEventsPageHoldsEveryEvent(t *testing.T) {
 	is := is.New(t)
 	fset := token.NewFileSet()
@@ -93,11 +93,11 @@
 			if err != nil {
 				return err
 			}
-			rows, unclear := logged(fset, file)
+			rows, nonLiteral := logCalls(fset, file)
 			for _, row := range rows {
 				inSource[row] = true
 			}
-			for _, what := range unclear {
+			for _, what := range nonLiteral {
 				t.Error(what)
 			}
 			return nil
@@ -122,14 +122,15 @@
 	}
 }
 
-// TestUnclearEventsAreFound reads calls whose event or key is not a literal.
+// TestUnclearEventsAreFound checks that logCalls reports calls whose event or key is not a
+// literal.
 func TestUnclearEventsAreFound(t *testing.T) {
 	is := is.New(t)
 	source := "package p\nfunc f() {\n s.Log.Info(name)\n s.log.Warn(`b`, k, 1)\n log.Error(`c`, `k`)\n log.Debug(`d`, `k`, 1)\n}"
 	fset := token.NewFileSet()
 	file, err := parser.ParseFile(fset, "f.go", source, parser.SkipObjectResolution)
 	is.NoErr(err)
-	rows, unclear := logged(fset, file)
-	is.Equal(len(unclear), 3)
+	rows, nonLiteral := logCalls(fset, file)
+	is.Equal(len(nonLiteral), 3)
 	is.Equal(rows[len(rows)-1], "| `d` | debug | p | `k` |")
 }
--- a/internal/shell/history.go
+++ b/internal/shell/history.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// rollbackRepeats is how often a rollback without an answer is sent again.
-	rollbackRepeats = 3
-	// repeatInterval is the time before it is.
-	repeatInterval = time.Second
+	// maxRollbackRetries is how many times a rollback without a response is sent again.
+	maxRollbackRetries = 3
+	// rollbackRetryDelay is the time before each of these retries.
+	rollbackRetryDelay = time.Second
 )
 
 func (a *app) historyCommand() *cobra.Command {
@@ -31,7 +31,7 @@
 The limit kept_revisions says how many stay.`,
 		Example: "  dandelionfield history --node 10.0.0.7:7102",
 		Args:    cobra.NoArgs,
-		RunE: work(func(command *cobra.Command, _ []string) error {
+		RunE: markFailed(func(command *cobra.Command, _ []string) error {
 			var history admin.History
 			if err := a.client.get(command.Context(), "/v1/history", &history); err != nil {
 				return err
@@ -54,7 +54,7 @@
 		Example: `  dandelionfield diff --revision 40 --node 10.0.0.7:7102
   dandelionfield rollback 40 --expected 42 --node 10.0.0.7:7102 --wait`,
 		Args: cobra.ExactArgs(1),
-		RunE: work(func(command *cobra.Command, args []string) error {
+		RunE: markFailed(func(command *cobra.Command, args []string) error {
 			number, err := strconv.ParseInt(args[0], 10, 64)
 			if err != nil || number < 1 {
 				return BadInput.New("the revision must be a number from `dandelionfield history`, found %q", args[0])
@@ -72,25 +72,25 @@
 	return command
 }
 
-// rollback asks once more when the answer was lost: the same rollback is never
-// accepted twice, and the node tells what became of the first.
+// rollback sends the request again if the response was lost. This is safe because the same
+// rollback is never accepted twice; the node then returns the result of the first request.
 func (a *app) rollback(ctx context.Context, number int64, options changeOptions) error {
 	applied, err := a.client.rollback(ctx, number, options.expected, options.dryRun)
-	for range rollbackRepeats {
+	for range maxRollbackRetries {
 		if !errorx.IsOfType(err, Unanswered) {
 			break
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-a.Clock.After(repeatInterval):
+		case <-a.Clock.After(rollbackRetryDelay):
 		}
 		applied, err = a.client.rollback(ctx, number, options.expected, options.dryRun)
 	}
 	if err != nil {
 		return err
 	}
-	return a.finish(ctx, applied, options)
+	return a.reportApplied(ctx, applied, options)
 }
 
 func addRevisionFlag(command *cobra.Command, revision *int64) {
@@ -102,19 +102,20 @@
 	for _, entry := range history.Revisions {
 		accepted := time.UnixMilli(entry.AcceptedMS).UTC().Format(time.RFC3339)
 		_, _ = fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n",
-			entry.Number, accepted, short(entry.Digest), blank(entry.Node), countsText(entry.Changes), note(entry, history.Revision))
+			entry.Number, accepted, abbreviateDigest(entry.Digest), orNone(entry.Node), formatCounts(entry.Changes), entryNotes(entry, history.Revision))
 	}
 }
 
-func countsText(counts *config.Counts) string {
+func formatCounts(counts *config.Counts) string {
 	if counts == nil {
 		return "not known"
 	}
 	return fmt.Sprintf("+%d ~%d -%d", counts.Created, counts.Changed, counts.Deleted)
 }
 
-// note says what is special about a revision.
-func note(entry config.Entry, inForce int64) string {
+// entryNotes returns the text of the NOTE column: whether the revision is in force, and
+// which earlier revision it restores.
+func entryNotes(entry config.Entry, inForce int64) string {
 	var notes []string
 	if entry.Number == inForce {
 		notes = append(notes, "in force")
--- a/internal/shell/live.go
+++ b/internal/shell/live.go
@@ -16,7 +16,7 @@
 	"github.com/dandelionfield/dandelionfield/internal/admin"
 )
 
-// statusOptions holds the flags of status.
+// statusOptions holds the flags of the status command.
 type statusOptions struct {
 	all   bool
 	watch bool
@@ -24,25 +24,25 @@
 }
 
 const (
-	// redrawInterval is the time between two statuses of status --watch.
+	// redrawInterval is the time between two updates of status --watch.
 	redrawInterval = time.Second
 
-	// home, clearLine and clearRest move a terminal to its first line, and clear
-	// the rest of a line and of the screen. A screen that is written over does
-	// not flicker as one does that is cleared first.
-	home      = "\x1b[H"
-	clearLine = "\x1b[K"
-	clearRest = "\x1b[J"
+	// These terminal escape sequences move the cursor to the top left corner, and erase to
+	// the end of the line and of the screen. Overwriting the screen avoids the flicker that
+	// clearing it first causes.
+	cursorHome       = "\x1b[H"
+	eraseToLineEnd   = "\x1b[K"
+	eraseToScreenEnd = "\x1b[J"
 )
 
-// isTerminal says whether somebody looks at what is written.
+// isTerminal reports whether w writes to a terminal.
 func isTerminal(w io.Writer) bool {
 	file, ok := w.(*os.File)
 	return ok && isatty.IsTerminal(file.Fd())
 }
 
-// watchStatus shows the status each second until the context ends, or as often as
-// was asked for. A node that gives no answer is asked again.
+// watchStatus shows the status each second until the context ends or it has been shown
+// --count times. If the node does not respond, it is asked again.
 func (a *app) watchStatus(ctx context.Context, options statusOptions, terminal bool) error {
 	for shown := 1; ; shown++ {
 		status, err := a.client.status(ctx)
@@ -52,7 +52,7 @@
 		if errorx.IsOfType(err, BadInput) || errorx.IsOfType(err, Refused) {
 			return err
 		}
-		if err := a.showLive(status, err, options, terminal); err != nil {
+		if err := a.writeLiveStatus(status, err, options, terminal); err != nil {
 			return err
 		}
 		if shown == options.count {
@@ -66,14 +66,14 @@
 	}
 }
 
-// showLive draws a screen on a terminal. Elsewhere it writes one plain line, or
-// one document of the form that was asked for.
-func (a *app) showLive(status admin.Status, lost error, options statusOptions, terminal bool) error {
+// writeLiveStatus redraws the screen of a terminal. Otherwise it writes one plain line, or
+// one document in the requested output format.
+func (a *app) writeLiveStatus(status admin.Status, statusErr error, options statusOptions, terminal bool) error {
 	if a.output == outputTable && terminal {
-		return a.redraw(status, lost, options.all)
+		return a.redraw(status, statusErr, options.all)
 	}
-	if lost != nil {
-		_, _ = fmt.Fprintln(a.stderr, message(lost))
+	if statusErr != nil {
+		_, _ = fmt.Fprintln(a.stderr, errorText(statusErr))
 		return nil
 	}
 	switch a.output {
@@ -83,38 +83,38 @@
 		_, _ = fmt.Fprintln(a.stdout, "---")
 		return printYAML(a.stdout, status)
 	}
-	_, err := fmt.Fprintln(a.stdout, a.plainLine(status))
+	_, err := fmt.Fprintln(a.stdout, a.statusLine(status))
 	return err
 }
 
-// redraw writes the status over the former one.
-func (a *app) redraw(status admin.Status, lost error, all bool) error {
+// redraw overwrites the previous status on the terminal.
+func (a *app) redraw(status admin.Status, statusErr error, all bool) error {
 	var text bytes.Buffer
 	drawn := &app{stdout: &text, output: outputTable}
 	_, _ = fmt.Fprintf(&text, "%s  %s\n", a.Clock.Now().UTC().Format(time.TimeOnly), a.client.node)
-	if lost != nil {
-		_, _ = fmt.Fprintln(&text, message(lost))
+	if statusErr != nil {
+		_, _ = fmt.Fprintln(&text, errorText(statusErr))
 	} else if err := drawn.print(status, func(w io.Writer) { printStatus(w, status, all) }); err != nil {
 		return err
 	}
-	lines := strings.ReplaceAll(text.String(), "\n", clearLine+"\n")
-	_, err := io.WriteString(a.stdout, home+lines+clearRest)
+	lines := strings.ReplaceAll(text.String(), "\n", eraseToLineEnd+"\n")
+	_, err := io.WriteString(a.stdout, cursorHome+lines+eraseToScreenEnd)
 	return err
 }
 
-// plainLine is the status as one line of key=value pairs: the conditions, and the
-// totals of all services.
-func (a *app) plainLine(status admin.Status) string {
+// statusLine returns the status as one line of key=value pairs: the totals of all services,
+// and the conditions.
+func (a *app) statusLine(status admin.Status) string {
 	var line strings.Builder
 	writePair(&line, "time", a.Clock.Now().UTC().Format(timeLayout))
 	writePair(&line, "node", status.Node)
 	writePair(&line, "revision", fmt.Sprint(status.Rollout.Revision))
 	writePair(&line, "members", fmt.Sprint(status.Rollout.Members))
 	writePair(&line, "lagging", fmt.Sprint(len(status.Rollout.Lagging)))
-	var sum total
+	var sum targetTotals
 	targets := 0
 	for _, service := range status.Services {
-		t := totalOf(service)
+		t := sumTargets(service)
 		targets += len(service.Targets)
 		sum.ready += t.ready
 		sum.ejected += t.ejected
@@ -128,7 +128,7 @@
 	writePair(&line, "in_flight", fmt.Sprint(sum.inFlight))
 	writePair(&line, "queued", fmt.Sprint(sum.queued))
 	for _, condition := range status.Conditions {
-		writePair(&line, condition.Type, yes(condition.Holds))
+		writePair(&line, condition.Type, yesNo(condition.Holds))
 		if condition.Action != "" {
 			writePair(&line, "action", condition.Action)
 		}
--- a/internal/shell/log.go
+++ b/internal/shell/log.go
@@ -22,12 +22,12 @@
 	clock clock.Clock
 }
 
-// timeLayout writes times in UTC with milliseconds.
+// timeLayout is the format of UTC times with milliseconds.
 const timeLayout = "2006-01-02T15:04:05.000Z"
 
-// newLogger returns a logger whose lines hold key=value pairs only. The lines
-// of hclog itself begin with a time and a level that have no keys, so a sink
-// writes them instead.
+// newLogger returns a logger whose lines consist of key=value pairs only. Lines in hclog's
+// own format begin with a time and a level that have no keys, so a lineSink writes the lines
+// instead.
 func newLogger(level string, out io.Writer, clock clock.Clock) hclog.Logger {
 	threshold := hclog.LevelFromString(level)
 	logger := hclog.NewInterceptLogger(&hclog.LoggerOptions{Level: threshold, Output: io.Discard})
@@ -35,7 +35,7 @@
 	return logger
 }
 
-// Accept writes one event. It is called by hclog.
+// Accept implements hclog.SinkAdapter. It writes one event.
 func (s *lineSink) Accept(name string, level hclog.Level, event string, args ...any) {
 	if level < s.level {
 		return
@@ -59,7 +59,8 @@
 	_, _ = io.WriteString(s.out, line.String())
 }
 
-// writePair quotes values that would break the line apart.
+// writePair appends a key=value pair to the line. It quotes empty values and values that
+// could not be parsed unquoted.
 func writePair(line *strings.Builder, key, value string) {
 	if line.Len() > 0 {
 		line.WriteByte(' ')
--- a/internal/shell/output.go
+++ b/internal/shell/output.go
@@ -12,39 +12,40 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// output is the form in which a command prints.
-type output string
+// outputFormat is the format of a command's output, the value of --output.
+type outputFormat string
 
-// The forms of output.
+// The output formats.
 const (
-	outputTable output = "table"
-	outputYAML  output = "yaml"
-	outputJSON  output = "json"
+	outputTable outputFormat = "table"
+	outputYAML  outputFormat = "yaml"
+	outputJSON  outputFormat = "json"
 )
 
-var outputNames = []string{string(outputTable), string(outputYAML), string(outputJSON)}
+var formatNames = []string{string(outputTable), string(outputYAML), string(outputJSON)}
 
-// String returns the form as it is written on the command line.
-func (o *output) String() string {
+// String implements pflag.Value. It returns the format as it is written on the command
+// line.
+func (o *outputFormat) String() string {
 	return string(*o)
 }
 
-// Set reads the form from the command line.
-func (o *output) Set(text string) error {
-	if !slices.Contains(outputNames, text) {
-		return fmt.Errorf("must be one of %s", strings.Join(outputNames, ", "))
+// Set implements pflag.Value. It parses the format from the command line.
+func (o *outputFormat) Set(text string) error {
+	if !slices.Contains(formatNames, text) {
+		return fmt.Errorf("must be one of %s", strings.Join(formatNames, ", "))
 	}
-	*o = output(text)
+	*o = outputFormat(text)
 	return nil
 }
 
-// Type names the form in the help.
-func (o *output) Type() string {
+// Type implements pflag.Value. It returns the placeholder for the value in help texts.
+func (o *outputFormat) Type() string {
 	return "FORM"
 }
 
-// print writes the value in the form that was asked for; table writes it for
-// people, with tabs between columns.
+// print writes the value in the requested output format. For the table format it calls
+// table, which writes text with tabs between the columns.
 func (a *app) print(value any, table func(w io.Writer)) error {
 	switch a.output {
 	case outputJSON:
@@ -59,8 +60,8 @@
 	return columns.Flush()
 }
 
-// printYAML writes the JSON form of a value as block YAML, so that both forms
-// have the same keys in the same order. JSON is a subset of YAML.
+// printYAML converts the JSON encoding of a value to block-style YAML, so that both formats
+// have the same keys in the same order. It relies on JSON being a subset of YAML.
 func printYAML(w io.Writer, value any) error {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -81,8 +82,8 @@
 	return err
 }
 
-// clearStyle removes the braces and quotes that came from JSON. Strings that
-// would read as another type keep their quotes by their tag.
+// clearStyle removes the flow style and quotes that come from JSON. The encoder still quotes
+// strings that would parse as another type, because of their tag.
 func clearStyle(node *yaml.Node) {
 	node.Style = 0
 	for _, child := range node.Content {
--- a/internal/shell/reload.go
+++ b/internal/shell/reload.go
@@ -11,9 +11,10 @@
 	"github.com/dandelionfield/dandelionfield/internal/setup"
 )
 
-// reloads reads the settings again on each SIGHUP. A file with problems is logged
-// with their places and changes nothing.
-func reloads(ctx context.Context, file string, log hclog.Logger) <-chan *setup.Node {
+// watchSettings reads the settings file again on each SIGHUP and sends the result to the
+// returned channel. If the file is invalid, it logs the problems with their positions and
+// sends nothing.
+func watchSettings(ctx context.Context, file string, log hclog.Logger) <-chan *setup.Node {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	read := make(chan *setup.Node)
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -1,5 +1,5 @@
-// Package shell is the command line of dandelionfield: it runs a node, and it
-// drives a mesh through the resource API of any node.
+// Package shell implements the command line of dandelionfield. Its commands run a node, and
+// administer a mesh through the resource API of any node.
 package shell
 
 import (
@@ -25,30 +25,30 @@
 )
 
 type (
-	// Seams is what the command line needs from outside.
+	// Seams holds the dependencies of the command line, which tests replace.
 	Seams struct {
-		// RunNode runs a node until the context ends, which asks for a planned
-		// stop, and returns once the stop is done.
+		// RunNode runs a node. When the context ends, RunNode stops the node gracefully
+		// and returns once it has stopped.
 		RunNode func(ctx context.Context, node *setup.Node, log hclog.Logger) error
-		// RunSide is RunNode for a node on the users' platform.
+		// RunSide is like RunNode, for a node beside a target of the users' platform.
 		RunSide func(ctx context.Context, node *setup.Node, log hclog.Logger) error
-		// Clock is the host's when nil.
+		// Clock defaults to the system clock.
 		Clock clock.Clock
-		// Version is taken from the build when empty.
+		// Version defaults to the module version in the build information.
 		Version string
 	}
 
-	// app is one run of the command line.
+	// app holds the state of one invocation of the command line.
 	app struct {
 		Seams
 		stdout io.Writer
 		stderr io.Writer
-		output output
+		output outputFormat
 		client client
 	}
 )
 
-// The exit codes.
+// The exit codes of the commands.
 const (
 	ExitOK         = 0
 	ExitFailed     = 1
@@ -57,11 +57,12 @@
 	ExitNotInForce = 4
 )
 
-// logPatience is how long a process that ends waits for the reader of its log.
-const logPatience = 200 * time.Millisecond
+// logFlushTimeout is how long an exiting process waits for its remaining log lines to be
+// read.
+const logFlushTimeout = 200 * time.Millisecond
 
-// tokenVariable holds the operator token when no flag gives it. A flag can be
-// seen in the list of processes.
+// tokenVariable is the environment variable for the operator token if --token is not given.
+// Unlike the variable, a flag is visible in the process list.
 const tokenVariable = "DANDELIONFIELD_TOKEN"
 
 const rootHelp = `dandelionfield keeps a mesh of services answering under overload.
@@ -78,22 +79,21 @@
 
 var (
 	namespace = errorx.NewNamespace("cli")
-	// Failed means that the command could not do its work.
+	// Failed means that the command could not be carried out.
 	Failed = namespace.NewType("failed")
-	// Refused means that the node refused the request, also when it is asked
-	// again.
+	// Refused means that the node rejected the request and would reject it again.
 	Refused = Failed.NewSubtype("refused")
-	// Unanswered means that a change may or may not have been accepted.
+	// Unanswered means that it is unknown whether a change was accepted.
 	Unanswered = Failed.NewSubtype("unanswered")
 	// BadInput means that a flag, an argument or a file is wrong.
 	BadInput = namespace.NewType("bad_input")
-	// Conflict means that another revision than the expected one is in force.
+	// Conflict means that the revision in force is not the expected one.
 	Conflict = namespace.NewType("conflict")
-	// NotInForce means that some nodes did not take the revision up in time.
+	// NotInForce means that some nodes did not apply the accepted revision in time.
 	NotInForce = namespace.NewType("not_in_force")
 )
 
-// Main runs the command line and returns the exit code.
+// Main runs the command line with the given arguments and returns the exit code.
 func Main(args []string, stdout, stderr io.Writer, seams Seams) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -109,7 +109,7 @@
 	if err == nil {
 		return ExitOK
 	}
-	_, _ = fmt.Fprintln(stderr, message(err))
+	_, _ = fmt.Fprintln(stderr, errorText(err))
 	return exitCode(err)
 }
 
@@ -127,24 +127,25 @@
 	})
 	a.output = outputTable
 	root.PersistentFlags().VarP(&a.output, "output", "o", "form of the output: table, yaml or json")
-	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions(outputNames, cobra.ShellCompDirectiveNoFileComp))
+	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions(formatNames, cobra.ShellCompDirectiveNoFileComp))
 	root.AddCommand(
-		a.nodeCommand(), a.sideCommand(), a.checkCommand(), a.diffCommand(), a.applyCommand(), a.getCommand(),
+		a.nodeCommand(), a.platformNodeCommand(), a.checkCommand(), a.diffCommand(), a.applyCommand(), a.getCommand(),
 		a.historyCommand(), a.rollbackCommand(), a.watchCommand(), a.statusCommand(), a.drainCommand(), a.explainCommand(), a.versionCommand(),
 	)
 	return root
 }
 
 func (a *app) nodeCommand() *cobra.Command {
-	return a.runCommand("node", "Run the node beside a target", a.RunNode)
+	return a.newRunCommand("node", "Run the node beside a target", a.RunNode)
 }
 
-func (a *app) sideCommand() *cobra.Command {
-	return a.runCommand("side", "Run the node beside a target of the users' platform", a.RunSide)
+func (a *app) platformNodeCommand() *cobra.Command {
+	return a.newRunCommand("side", "Run the node beside a target of the users' platform", a.RunSide)
 }
 
-// runCommand returns a command that runs a node by one of the seams.
-func (a *app) runCommand(name, short string, run func(context.Context, *setup.Node, hclog.Logger) error) *cobra.Command {
+// newRunCommand returns a command that loads the settings of a node and calls run with
+// them.
+func (a *app) newRunCommand(name, short string, run func(context.Context, *setup.Node, hclog.Logger) error) *cobra.Command {
 	var config string
 	command := &cobra.Command{
 		Use:     name + " --config FILE",
@@ -152,15 +153,15 @@
 		Long:    short + " until SIGTERM or SIGINT, which begin a planned stop:\nthe node takes no new work and ends once the calls in flight have their answers.",
 		Example: "  dandelionfield " + name + " --config /etc/dandelionfield/node.yaml",
 		Args:    cobra.NoArgs,
-		RunE: work(func(command *cobra.Command, _ []string) error {
+		RunE: markFailed(func(command *cobra.Command, _ []string) error {
 			node, err := setup.Load(config)
 			if err != nil {
-				return badFile(err)
+				return badFileError(err)
 			}
 			lines := trail.NewWriter(a.stdout)
-			defer lines.Close(logPatience)
+			defer lines.Close(logFlushTimeout)
 			log := newLogger(node.LogLevel, lines, a.Clock)
-			node.Reloads = reloads(command.Context(), config, log)
+			node.Reloads = watchSettings(command.Context(), config, log)
 			return run(command.Context(), node, log)
 		}),
 	}
@@ -174,7 +175,7 @@
 		Use:   "version",
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
-		RunE: work(func(*cobra.Command, []string) error {
+		RunE: markFailed(func(*cobra.Command, []string) error {
 			return a.print(struct {
 				Version string `json:"version"`
 			}{a.version()}, func(w io.Writer) {
@@ -194,9 +195,10 @@
 	return "unknown"
 }
 
-// work marks errors of a command's own work as failed, so that the remaining
-// errors are those of reading the command line.
-func work(run func(*cobra.Command, []string) error) func(*cobra.Command, []string) error {
+// markFailed wraps the RunE function of a command so that its untyped errors become Failed.
+// Only problems with positions stay untyped. Other untyped errors then come from parsing the
+// command line.
+func markFailed(run func(*cobra.Command, []string) error) func(*cobra.Command, []string) error {
 	return func(command *cobra.Command, args []string) error {
 		err := run(command, args)
 		if err == nil || errorx.Cast(err) != nil {
@@ -210,9 +212,9 @@
 	}
 }
 
-// badFile marks an error of reading a file as bad input; problems with places
-// speak for themselves.
-func badFile(err error) error {
+// badFileError converts an error from reading a file to BadInput. Problems with positions
+// are returned without a prefix, as each of them names its file.
+func badFileError(err error) error {
 	var problems place.Problems
 	if errors.As(err, &problems) {
 		return problems
@@ -220,8 +222,8 @@
 	return BadInput.New("%v", err)
 }
 
-// exitCode returns the code for an error. What carries no type comes from
-// reading the command line.
+// exitCode returns the exit code for an error. An untyped error holds problems of a file,
+// or comes from parsing the command line, and counts as bad input.
 func exitCode(err error) int {
 	switch {
 	case errorx.IsOfType(err, Conflict):
@@ -234,9 +236,9 @@
 	return ExitFailed
 }
 
-// message returns an error without the names of its types, and problems one
-// to a line.
-func message(err error) string {
+// errorText formats an error for the operator: without the names of its types, and with
+// each problem on a line of its own.
+func errorText(err error) string {
 	var problems place.Problems
 	if errors.As(err, &problems) {
 		return problems.Error()
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -27,35 +27,35 @@
 )
 
 type (
-	// fakeMesh stands behind the resource API in place of a node.
+	// fakeMesh is the state behind a resource API that behaves like that of a node.
 	fakeMesh struct {
-		mutex   sync.Mutex
-		history []*schema.Set // revision n is at n-1
-		lagging int           // status answers until the other member follows
-		breaks  bool          // every watch ends after one revision
-		offline bool          // the platform gives no answer
-		gone    int64         // revisions up to this one are not kept
-		loses   bool          // the answer to the next change is lost
-		late    bool          // the next change is replaced before its answer
-		rival   bool          // another operator's change comes first
-		drained bool
+		mutex          sync.Mutex
+		history        []*schema.Set // revision n is at n-1
+		lagging        int           // status responses until the other member catches up
+		dropsWatches   bool          // watches break off after one revision
+		offline        bool          // the platform does not respond
+		lastDropped    int64         // revisions up to this one are no longer kept
+		losesAnswer    bool          // the response to the next change is lost
+		supersedesNext bool          // the next change is superseded before its response
+		rivalFirst     bool          // another operator's change is accepted instead
+		drained        bool
 	}
 
-	// skipClock lets short waits pass at once and counts them, so that long
-	// waits end after as many short ones as fit into them.
+	// skipClock ends short waits at once and advances its time by them, so that a long wait
+	// ends after as many short waits as fit into it.
 	skipClock struct {
 		mutex  sync.Mutex
 		now    time.Time
-		alarms map[chan time.Time]time.Time
-		// skip is the longest wait that passes at once.
+		timers map[chan time.Time]time.Time
+		// skip is the longest wait that ends at once.
 		skip time.Duration
 	}
 )
 
 const (
-	// scriptSkip is the longest wait that passes at once in scripts.
-	scriptSkip = time.Second
-	// meshKey is where a script finds its mesh.
+	// maxScriptSkip is the longest wait that ends at once in scripts.
+	maxScriptSkip = time.Second
+	// meshKey is the key of a script's fakeMesh in its environment.
 	meshKey = "mesh"
 )
 
@@ -68,18 +68,18 @@
 func (c *skipClock) After(d time.Duration) <-chan time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	alarm := make(chan time.Time, 1)
-	c.alarms[alarm] = c.now.Add(d)
+	timer := make(chan time.Time, 1)
+	c.timers[timer] = c.now.Add(d)
 	if d <= c.skip {
 		c.now = c.now.Add(d)
 	}
-	for alarm, at := range c.alarms {
+	for timer, at := range c.timers {
 		if !at.After(c.now) {
-			alarm <- c.now
-			delete(c.alarms, alarm)
+			timer <- c.now
+			delete(c.timers, timer)
 		}
 	}
-	return alarm
+	return timer
 }
 
 func (m *fakeMesh) server(token string) *admin.Server {
@@ -122,16 +122,16 @@
 	if err != nil {
 		return admin.Applied{}, err
 	}
-	if m.rival {
+	if m.rivalFirst {
 		set = &schema.Set{Limits: schema.DefaultLimits()}
 	}
 	m.history = append(m.history, set)
-	if m.late {
-		m.late = false
+	if m.supersedesNext {
+		m.supersedesNext = false
 		m.history = append(m.history, &schema.Set{Limits: schema.DefaultLimits()})
 	}
-	if m.loses {
-		m.loses = false
+	if m.losesAnswer {
+		m.losesAnswer = false
 		return admin.Applied{}, config.Unresolved.New("answer lost")
 	}
 	return admin.Applied{Revision: number + 1}, nil
@@ -144,7 +144,7 @@
 		return nil, config.Unreachable.New("the platform gave no answer")
 	}
 	var entries []config.Entry
-	for number := int64(len(m.history)); number > m.gone; number-- {
+	for number := int64(len(m.history)); number > m.lastDropped; number-- {
 		entries = append(entries, config.Entry{Number: number, Digest: "00112233445566", Node: "orders-1", Changes: &config.Counts{Changed: 1}})
 	}
 	return entries, nil
@@ -155,7 +155,7 @@
 	if err != nil {
 		return config.Revision{}, err
 	}
-	if number <= m.gone || number > int64(len(entries))+m.gone {
+	if number <= m.lastDropped || number > int64(len(entries))+m.lastDropped {
 		return config.Revision{}, config.NotKept.New("revision %d is not kept any more", number)
 	}
 	set := m.history[number-1]
@@ -189,11 +189,11 @@
 func (m *fakeMesh) watch(ctx context.Context, after int64) (int64, *schema.Set, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if after < int64(len(m.history)) && (!m.breaks || after%2 == 0) {
+	if after < int64(len(m.history)) && (!m.dropsWatches || after%2 == 0) {
 		return after + 1, m.history[after], nil
 	}
-	if m.breaks {
-		m.breaks = false
+	if m.dropsWatches {
+		m.dropsWatches = false
 		return 0, nil, io.ErrUnexpectedEOF
 	}
 	m.mutex.Unlock()
@@ -226,10 +226,11 @@
 	}
 }
 
-// TestScripts runs testdata/script. Commands beside those of testscript:
+// TestScripts runs the scripts in testdata/script, which use these commands in addition to
+// those of testscript:
 //
-//	mesh start [TOKEN]         starts a mesh and sets $NODE
-//	mesh lag|break|offline|... changes it
+//	mesh start [TOKEN]         starts a fake mesh and sets $NODE to its address
+//	mesh lag|break|offline|... changes how the fake mesh behaves
 //	run CODE ARGUMENT...       runs the command line and checks its exit code
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
@@ -240,7 +241,7 @@
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
 			"mesh": meshCommand,
-			"run":  runCommand,
+			"run":  execCommand,
 		},
 	})
 }
@@ -259,17 +260,17 @@
 		ts.Check(err)
 		mesh.lagging = polls
 	case "break":
-		mesh.breaks = true
+		mesh.dropsWatches = true
 	case "lose":
-		mesh.loses = true
+		mesh.losesAnswer = true
 	case "fair":
-		mesh.rival = false
+		mesh.rivalFirst = false
 	case "forget":
-		mesh.gone = 1
+		mesh.lastDropped = 1
 	case "late":
-		mesh.late = true
+		mesh.supersedesNext = true
 	case "rival":
-		mesh.loses, mesh.rival = true, true
+		mesh.losesAnswer, mesh.rivalFirst = true, true
 	case "offline":
 		mesh.offline = true
 	case "drained":
@@ -281,9 +282,8 @@
 	}
 }
 
-// runCommand runs the command line as a process of its own, in the directory
-// of the script.
-func runCommand(ts *testscript.TestScript, _ bool, args []string) {
+// execCommand runs the command line as a separate process in the script's directory.
+func execCommand(ts *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	got := ExitOK
@@ -307,7 +307,7 @@
 
 func testSeams() Seams {
 	return Seams{
-		Clock:   &skipClock{alarms: map[chan time.Time]time.Time{}, skip: scriptSkip},
+		Clock:   &skipClock{timers: map[chan time.Time]time.Time{}, skip: maxScriptSkip},
 		Version: "1.2.3",
 		RunNode: func(_ context.Context, node *setup.Node, log hclog.Logger) error {
 			log.Named("node").Debug("not shown at info")
@@ -317,8 +317,8 @@
 	}
 }
 
-// TestWatchGivesUpOnSilence connects to a node that sends nothing, under a
-// clock on which the time without a line has passed.
+// TestWatchGivesUpOnSilence connects to a node that sends nothing, with a clock on which
+// watchIdleTimeout passes at once. The watch has to give up the connection.
 func TestWatchGivesUpOnSilence(t *testing.T) {
 	is := is.New(t)
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -326,14 +326,14 @@
 		<-r.Context().Done()
 	}))
 	defer web.Close()
-	clock := &skipClock{alarms: map[chan time.Time]time.Time{}, skip: silenceTimeout}
+	clock := &skipClock{timers: map[chan time.Time]time.Time{}, skip: watchIdleTimeout}
 	a := &app{Seams: Seams{Clock: clock}, stdout: io.Discard, stderr: io.Discard}
 	a.client.node = web.Listener.Addr().String()
 	var after int64
 	var printed int
 	done, err := a.watchOnce(t.Context(), &after, &printed, 0)
 	is.True(!done)
-	is.True(strings.Contains(err.Error(), "nothing heard"))
+	is.True(strings.Contains(err.Error(), "no data received"))
 }
 
 func TestCodesPageHoldsTheTable(t *testing.T) {
@@ -342,11 +342,11 @@
 	is.NoErr(err)
 	var table bytes.Buffer
 	is.Equal(Main([]string{"explain", "--all"}, &table, io.Discard, Seams{}), ExitOK)
-	is.True(strings.Contains(string(page), table.String())) // `dandelionfield explain --all` prints the table anew
+	is.True(strings.Contains(string(page), table.String())) // update it with `dandelionfield explain --all`
 }
 
-// TestOperatorsPage parses the page's examples and finds every default in its
-// tables.
+// TestOperatorsPage parses the examples in docs/operators.md, and checks that its tables
+// contain every default.
 func TestOperatorsPage(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/operators.md")
--- a/internal/shell/status.go
+++ b/internal/shell/status.go
@@ -13,8 +13,8 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// codesIntro stands above the table of codes.
-const codesIntro = "| Code | Name | Family | HTTP status | Meaning | What the caller does |\n|---|---|---|---|---|---|\n"
+// codesTableHeader is the header of the markdown table that explain --all prints.
+const codesTableHeader = "| Code | Name | Family | HTTP status | Meaning | What the caller does |\n|---|---|---|---|---|---|\n"
 
 func (a *app) statusCommand() *cobra.Command {
 	var options statusOptions
@@ -30,7 +30,7 @@
   dandelionfield status --watch --node 10.0.0.7:7102
   dandelionfield status --all --node 10.0.0.7:7102`,
 		Args: cobra.NoArgs,
-		RunE: work(func(command *cobra.Command, _ []string) error {
+		RunE: markFailed(func(command *cobra.Command, _ []string) error {
 			if options.watch {
 				return a.watchStatus(command.Context(), options, isTerminal(a.stdout))
 			}
@@ -55,7 +55,7 @@
 		Long:    "Begin a planned stop of one node: the others send it no new work, the calls in\nflight end, and then the process goes.",
 		Example: "  dandelionfield drain --node 10.0.0.7:7102",
 		Args:    cobra.NoArgs,
-		RunE: work(func(command *cobra.Command, _ []string) error {
+		RunE: markFailed(func(command *cobra.Command, _ []string) error {
 			return a.drain(command.Context())
 		}),
 	}
@@ -84,7 +84,7 @@
   dandelionfield explain no_target
   dandelionfield explain --all`,
 		Args: cobra.MaximumNArgs(1),
-		RunE: work(func(_ *cobra.Command, args []string) error {
+		RunE: markFailed(func(_ *cobra.Command, args []string) error {
 			if all {
 				return a.print(explanations(), func(w io.Writer) { printCodes(w) })
 			}
@@ -98,7 +98,7 @@
 	return command
 }
 
-// explanation is one code as it is printed.
+// explanation is the output of explain for one result code.
 type explanation struct {
 	Code    result.Code `json:"code"`
 	Name    string      `json:"name"`
@@ -152,7 +152,7 @@
 }
 
 func printCodes(w io.Writer) {
-	_, _ = io.WriteString(w, codesIntro)
+	_, _ = io.WriteString(w, codesTableHeader)
 	for _, info := range result.All() {
 		_, _ = fmt.Fprintf(w, "| %d | `%s` | %s | %d | %s | %s |\n",
 			info.Code, info.Name, info.Code.Family(), info.Status, info.Meaning, info.Advice)
--- a/internal/shell/table.go
+++ b/internal/shell/table.go
@@ -10,40 +10,42 @@
 	"github.com/dandelionfield/dandelionfield/internal/admin"
 )
 
-// A status is to fit on one screen of 50 lines with 160 columns, at whatever size
-// of the mesh, so that nobody has to scroll for what matters. The bounds below add
-// up to that; --all lifts those of the lists.
+// The status has to fit on one screen of 50 lines with 160 columns, whatever the size of the
+// mesh, so that the most important information is visible without scrolling. The limits
+// below are chosen for that; --all lifts the limits of the lists.
 const (
-	// shortDigest is how many letters of a digest are printed for people.
-	shortDigest = 12
-	// maxMessage is how many letters of a message are printed.
-	maxMessage = 130
-	// maxMembers, maxServices and maxTargets are how many rows a list has.
+	// digestChars is how many characters of a digest are printed in tables.
+	digestChars = 12
+	// maxMessageRunes is how many characters of a message are printed.
+	maxMessageRunes = 130
+	// maxMembers, maxServices and maxTargets limit the rows of each list.
 	maxMembers  = 5
 	maxServices = 8
 	maxTargets  = 5
-	// maxCounts is how many counters are printed, the highest first.
-	maxCounts = 4
+	// maxCounters is how many counters are printed, highest first.
+	maxCounters = 4
 )
 
-// row is one line of a list, and how much it matters.
+// row is one line of a list. Rows with a higher weight are listed first.
 type row struct {
 	text   string
 	weight int
 }
 
-// total is what the targets of a service do together.
-type total struct {
+// targetTotals holds the sums over the targets of a service, and the highest of their
+// floors.
+type targetTotals struct {
 	ready, ejected, stopped, inFlight, limit, queued int
 
 	floor uint32
 }
 
-// printStatus writes what needs a person first, then the mesh.
+// printStatus writes the conditions that need an operator first, then the state of the
+// mesh.
 func printStatus(w io.Writer, status admin.Status, all bool) {
 	printConditions(w, status.Conditions)
 	_, _ = fmt.Fprintf(w, "\nnode\t%s (%s, %s)\nincarnation\t%s\nstate\t%s\nrevision\t%d (%s)\nmembers\t%d\n",
-		status.Node, status.Service, status.DataCentre, status.Incarnation, status.State, status.Revision, short(status.Digest), len(status.Members))
+		status.Node, status.Service, status.DataCentre, status.Incarnation, status.State, status.Revision, abbreviateDigest(status.Digest), len(status.Members))
 	printList(w, "MEMBER\tSERVICE\tDATA CENTRE\tSTATE\tREVISION\tHANDOVERS", memberRows(status, all), maxMembers, all)
 	printList(w, "SERVICE\tREADY\tEJECTED\tSTOPPED\tIN FLIGHT\tQUEUED\tFLOOR\tUNOWNED KEYS", serviceRows(status.Services), maxServices, all)
 	printList(w, "TARGET\tSERVICE\tSTATE\tIN FLIGHT\tQUEUED\tFLOOR", targetRows(status.Services, all), maxTargets, all)
@@ -51,21 +53,22 @@
 	printCounts(w, "RETRIES", status.Retries)
 }
 
-// printConditions writes each condition on a line, and each action on one below.
+// printConditions writes one line for each condition, followed by one line for each action
+// that the operator should take.
 func printConditions(w io.Writer, conditions []admin.Condition) {
 	for _, condition := range conditions {
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\n", condition.Type, yes(condition.Holds), cut(condition.Message))
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\n", condition.Type, yesNo(condition.Holds), truncate(condition.Message))
 		if condition.Action == "" {
 			continue
 		}
 		for _, action := range strings.Split(condition.Action, admin.ActionSeparator) {
-			_, _ = fmt.Fprintf(w, "\tTO DO\t%s\n", cut(action))
+			_, _ = fmt.Fprintf(w, "\tTO DO\t%s\n", truncate(action))
 		}
 	}
 }
 
-// printList writes the rows that matter most and counts the others, or all rows
-// in their order. A list without rows is left out.
+// printList writes the rows with the highest weights and the number of the others, or with
+// all set every row in its original order. It writes nothing for an empty list.
 func printList(w io.Writer, header string, rows []row, limit int, all bool) {
 	if len(rows) == 0 {
 		return
@@ -86,13 +89,13 @@
 	}
 }
 
-// memberRows returns the members that lag, do not take work or wait with a
-// handover, or all.
+// memberRows returns rows for the members that lag, take no work or have pending handovers,
+// or for all members.
 func memberRows(status admin.Status, all bool) []row {
 	var rows []row
 	for _, member := range status.Members {
 		lags := member.Revision < status.Rollout.Revision
-		weight := 2*count(lags) + count(!member.TakesWork()) + count(member.PendingHandovers > 0)
+		weight := 2*boolToInt(lags) + boolToInt(!member.TakesWork()) + boolToInt(member.PendingHandovers > 0)
 		if !all && weight == 0 {
 			continue
 		}
@@ -107,31 +110,31 @@
 	return rows
 }
 
-// serviceRows returns one row for each service: what its targets do together, and
-// the highest of their floors. Services that nobody serves weigh most.
+// serviceRows returns one row for each service with the totals of its targets and the
+// highest of their floors. Services without a working target have the highest weight.
 func serviceRows(services []admin.Service) []row {
 	rows := make([]row, 0, len(services))
 	for _, service := range services {
-		t := totalOf(service)
+		t := sumTargets(service)
 		keys := "none"
 		if service.Unowned != nil {
 			keys = service.Unowned.String()
 		}
 		text := fmt.Sprintf("%s\t%d/%d\t%d\t%d\t%d/%d\t%d\t%d\t%s",
 			service.Name, t.ready, len(service.Targets), t.ejected, t.stopped, t.inFlight, t.limit, t.queued, t.floor, keys)
-		weight := 16*count(t.ready == t.stopped) + 8*count(service.Unowned != nil) + 4*count(t.stopped > 0) +
-			2*count(t.floor > 0) + count(t.ready < len(service.Targets) || t.ejected > 0)
+		weight := 16*boolToInt(t.ready == t.stopped) + 8*boolToInt(service.Unowned != nil) + 4*boolToInt(t.stopped > 0) +
+			2*boolToInt(t.floor > 0) + boolToInt(t.ready < len(service.Targets) || t.ejected > 0)
 		rows = append(rows, row{text, weight})
 	}
 	return rows
 }
 
-func totalOf(service admin.Service) total {
-	var t total
+func sumTargets(service admin.Service) targetTotals {
+	var t targetTotals
 	for _, target := range service.Targets {
-		t.ready += count(target.State == admin.StateReady)
-		t.ejected += count(target.Ejected)
-		t.stopped += count(target.StoppedMS > 0)
+		t.ready += boolToInt(target.State == admin.StateReady)
+		t.ejected += boolToInt(target.Ejected)
+		t.stopped += boolToInt(target.StoppedMS > 0)
 		t.inFlight += target.InFlight
 		t.limit += target.Limit
 		t.queued += target.Queued
@@ -140,20 +143,20 @@
 	return t
 }
 
-// targetRows returns the targets that are not ready, have stopped or are ejected,
-// or all.
+// targetRows returns rows for the targets that are not ready, have stopped or are ejected,
+// or for all targets.
 func targetRows(services []admin.Service, all bool) []row {
 	var rows []row
 	for _, service := range services {
 		for _, target := range service.Targets {
 			state := target.State
 			if target.StoppedMS > 0 {
-				state += ", stopped for " + age(target.StoppedMS)
+				state += ", stopped for " + formatMS(target.StoppedMS)
 			}
 			if target.Ejected {
 				state += ", ejected"
 			}
-			weight := 4*count(target.StoppedMS > 0) + 2*count(target.State != admin.StateReady) + count(target.Ejected)
+			weight := 4*boolToInt(target.StoppedMS > 0) + 2*boolToInt(target.State != admin.StateReady) + boolToInt(target.Ejected)
 			if !all && weight == 0 {
 				continue
 			}
@@ -165,7 +168,7 @@
 	return rows
 }
 
-// printCounts writes the highest counters in one line, and nothing when all are 0.
+// printCounts writes the highest counters on one line. It writes nothing if all are 0.
 func printCounts(w io.Writer, title string, counts []admin.Count) {
 	counted := slices.DeleteFunc(slices.Clone(counts), func(c admin.Count) bool { return c.Count == 0 })
 	if len(counted) == 0 {
@@ -173,44 +176,45 @@
 	}
 	slices.SortStableFunc(counted, func(a, b admin.Count) int { return int(b.Count - a.Count) })
 	var texts []string
-	for _, c := range counted[:min(len(counted), maxCounts)] {
+	for _, c := range counted[:min(len(counted), maxCounters)] {
 		texts = append(texts, fmt.Sprintf("%s %d", c.Reason, c.Count))
 	}
-	if rest := len(counted) - maxCounts; rest > 0 {
+	if rest := len(counted) - maxCounters; rest > 0 {
 		texts = append(texts, fmt.Sprintf("and %d other reasons", rest))
 	}
 	_, _ = fmt.Fprintf(w, "\n%s\t%s\n", title, strings.Join(texts, ", "))
 }
 
-// short cuts a digest to what is enough for telling revisions apart.
-func short(digest string) string {
-	return digest[:min(len(digest), shortDigest)]
+// abbreviateDigest shortens a digest to a prefix that is enough to tell revisions apart.
+func abbreviateDigest(digest string) string {
+	return digest[:min(len(digest), digestChars)]
 }
 
-// cut shortens a message to what fits on a line. The other forms have it whole.
-func cut(message string) string {
+// truncate shortens a message so that it fits on a line. The JSON and YAML formats contain
+// the whole message.
+func truncate(message string) string {
 	letters := []rune(message)
-	if len(letters) <= maxMessage {
+	if len(letters) <= maxMessageRunes {
 		return message
 	}
-	return string(letters[:maxMessage-1]) + "…"
+	return string(letters[:maxMessageRunes-1]) + "…"
 }
 
-func count(holds bool) int {
+func boolToInt(holds bool) int {
 	if holds {
 		return 1
 	}
 	return 0
 }
 
-func yes(holds bool) string {
+func yesNo(holds bool) string {
 	if holds {
 		return "yes"
 	}
 	return "no"
 }
 
-// age writes milliseconds for people.
-func age(ms int64) string {
+// formatMS formats a duration in milliseconds, rounded to seconds.
+func formatMS(ms int64) string {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second).String()
 }
--- a/internal/shell/table_test.go
+++ b/internal/shell/table_test.go
@@ -14,37 +14,40 @@
 )
 
 const (
-	// screenLines and screenColumns are the screen that a status has to fit on.
+	// screenLines and screenColumns are the size of the screen that the status has to fit
+	// on.
 	screenLines   = 50
 	screenColumns = 160
-	// watchHead is what --watch writes above a status.
-	watchHead = 1
-	// aimNodes and aimServices are the aim's size.
-	aimNodes    = 530
-	aimServices = 54
+	// watchHeaderLines is the number of lines that --watch writes above the status.
+	watchHeaderLines = 1
+	// designNodes and designServices are the size of the largest mesh that the project is
+	// designed for.
+	designNodes    = 530
+	designServices = 54
 )
 
-// worst is a mesh of the aim's size in which everything is wrong at once.
-func worst() admin.Status {
+// worstCaseStatus returns the status of a mesh of the largest supported size in which
+// everything is wrong at once.
+func worstCaseStatus() admin.Status {
 	status := admin.Status{
 		Node: "subscriptions-renewal-001", Service: "subscriptions-renewal", DataCentre: "port-louis-north",
 		Revision: 710, RevisionAgeMS: 3_600_000, PlatformSilentMS: 3_600_000,
 	}
-	for i := range aimServices {
+	for i := range designServices {
 		service := admin.Service{
 			Name:    fmt.Sprintf("subscriptions-renewal-%02d", i),
 			Unowned: &admin.Unowned{Slots: 3, Of: 12, Until: "2026-03-01T10:00:00Z", Lost: []string{"lost-1"}},
 		}
 		status.Services = append(status.Services, service)
 	}
-	for i := range aimNodes {
+	for i := range designNodes {
 		name := fmt.Sprintf("subscriptions-renewal-%03d", i)
-		service := &status.Services[i%aimServices]
+		service := &status.Services[i%designServices]
 		status.Members = append(status.Members, admin.Member{
 			Name: name, Service: service.Name, DataCentre: "port-louis-north", State: "leaving", Revision: 709, PendingHandovers: 1,
 		})
 		state := admin.StateReady
-		if i%aimServices < aimServices/2 {
+		if i%designServices < designServices/2 {
 			state = "silent"
 		}
 		service.Targets = append(service.Targets, admin.Target{
@@ -62,12 +65,12 @@
 
 func TestStatusFitsOnAScreen(t *testing.T) {
 	is := is.New(t)
-	status := worst()
+	status := worstCaseStatus()
 	var out bytes.Buffer
 	a := &app{stdout: &out, output: outputTable}
 	is.NoErr(a.print(status, func(w io.Writer) { printStatus(w, status, false) }))
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	is.True(len(lines)+watchHead <= screenLines) // lines of a screen, also with --watch
+	is.True(len(lines)+watchHeaderLines <= screenLines) // the status fits on the screen, also with --watch
 	for _, line := range lines {
 		if utf8.RuneCountInString(line) > screenColumns {
 			t.Errorf("%d columns: %s", utf8.RuneCountInString(line), line)
@@ -77,26 +80,26 @@
 		"TO DO", "restart targets of", "start targets of", "bring the platform back", "look at the hosts of subscriptions-renewal-001, subscriptions-renewal-002, subscriptions-renewal-003 and 526 more",
 		"25% until 2026-03-01T10:00:00Z", "stopped for 1h0m0s, ejected", "silent", "and 46 more", "and 525 more",
 	} {
-		is.True(strings.Contains(out.String(), wanted)) // what is wrong has its place
+		is.True(strings.Contains(out.String(), wanted)) // each kind of problem is shown
 	}
 	out.Reset()
 	is.NoErr(a.print(status, func(w io.Writer) { printStatus(w, status, true) }))
-	is.True(strings.Count(out.String(), "\n") > 2*aimNodes) // --all lists every member and target
+	is.True(strings.Count(out.String(), "\n") > 2*designNodes) // --all lists every member and target
 }
 
-// TestStatusSaysWhatIsNewInEveryForm looks for each of the newest facts in the
-// two forms that are read by programs.
+// TestStatusSaysWhatIsNewInEveryForm checks that the formats for programs, YAML and JSON,
+// contain the keys and conditions that were added last.
 func TestStatusSaysWhatIsNewInEveryForm(t *testing.T) {
-	for _, form := range []output{outputYAML, outputJSON} {
+	for _, form := range []outputFormat{outputYAML, outputJSON} {
 		is := is.New(t)
 		var out bytes.Buffer
 		a := &app{stdout: &out, output: form}
-		is.NoErr(a.print(worst(), nil))
+		is.NoErr(a.print(worstCaseStatus(), nil))
 		for _, key := range []string{
 			"stopped_ms", "ejected", "pending_handovers", "unowned", "slots", "until", "lost", "platform_silent_ms",
 			"platform_answers", "keys_owned", "handed_over", "targets_go_on",
 		} {
-			is.True(strings.Contains(out.String(), key)) // the key or condition is there
+			is.True(strings.Contains(out.String(), key)) // the output has the key or condition
 		}
 	}
 }
--- a/internal/shell/wait.go
+++ b/internal/shell/wait.go
@@ -12,51 +12,51 @@
 )
 
 type (
-	// rollout is what several nodes together know of a revision.
-	rollout struct {
-		// views are the statuses of the nodes that were asked, the first of them
-		// the one that the command line names.
-		views []admin.Status
-		// silent says which nodes should have been asked and gave no answer.
-		silent []string
+	// rolloutView combines what several nodes know about the rollout of a revision.
+	rolloutView struct {
+		// statuses holds the statuses of the nodes that answered, that of the node named
+		// by --node first.
+		statuses []admin.Status
+		// failures holds an error message for each data centre of which no node answered.
+		failures []string
 	}
 
-	// laggard is a member, with the highest revision that any node knows it by.
-	laggard struct {
+	// knownMember is a member with the highest revision that any node reports for it.
+	knownMember struct {
 		admin.Member
-		// unknownTo names a node that does not know the member.
+		// unknownTo is the name of a node that does not know the member, or empty.
 		unknownTo string
-		// answers is whether some node got an answer from it.
-		answers bool
+		// answered is whether any node got an answer from the member.
+		answered bool
 	}
 )
 
 const (
-	// witnesses is how many nodes beside the first one are asked, each of another
-	// data centre: what one node does not know of, one elsewhere may.
-	witnesses = 2
-	// witnessTries is how many nodes of a data centre are asked for one answer.
-	witnessTries = 3
-	// witnessTimeout bounds one of these questions. A node takes up to a second
-	// for its status while members are silent.
-	witnessTimeout = 3 * time.Second
-	// listedLaggards is how many members that lag are named.
-	listedLaggards = 5
+	// maxOtherNodes is how many nodes are asked besides the first one, each in another data
+	// centre, as they may know members that the first node does not.
+	maxOtherNodes = 2
+	// triesPerDataCentre is how many nodes of a data centre are tried until one answers.
+	triesPerDataCentre = 3
+	// statusTimeout limits one status request. While members are silent, a node takes up to
+	// a second to answer.
+	statusTimeout = 3 * time.Second
+	// maxListedMembers is how many lagging members an error message names.
+	maxListedMembers = 5
 )
 
-// waitInForce looks at the status of several nodes until no member that any of
-// them knows lags behind the revision.
+// waitInForce polls the status of several nodes until none of the members that they know
+// lags behind the revision.
 func (a *app) waitInForce(ctx context.Context, revision int64, timeout time.Duration) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	expired := a.Clock.After(timeout)
 	for {
-		r, err := a.askAround(ctx)
+		r, err := a.collectStatuses(ctx)
 		why := ""
 		if err != nil {
-			why = cause(err)
+			why = errorCause(err)
 		} else {
-			why = r.why(revision)
+			why = r.lagReason(revision)
 		}
 		if why == "" {
 			a.printInForce(r, revision)
@@ -73,38 +73,39 @@
 	}
 }
 
-func (a *app) printInForce(r rollout, revision int64) {
+func (a *app) printInForce(r rolloutView, revision int64) {
 	if a.output != outputTable {
 		return
 	}
-	_, _ = fmt.Fprintf(a.stdout, "revision %d is in force at all %d members (nodes asked: %d)\n", revision, len(r.members()), len(r.views))
+	_, _ = fmt.Fprintf(a.stdout, "revision %d is in force at all %d members (nodes asked: %d)\n", revision, len(r.members()), len(r.statuses))
 }
 
-// askAround asks the node of the command line, and then one node in each of two
-// data centres that it names, other ones than its own where there are any.
-func (a *app) askAround(ctx context.Context) (rollout, error) {
-	var r rollout
+// collectStatuses asks the node named by --node for its status, and then one node in each of
+// up to two of the data centres that its status lists, preferring data centres other than
+// its own.
+func (a *app) collectStatuses(ctx context.Context) (rolloutView, error) {
+	var r rolloutView
 	var first admin.Status
 	if err := a.client.get(ctx, "/v1/status", &first); err != nil {
 		return r, err
 	}
-	r.views = append(r.views, first)
+	r.statuses = append(r.statuses, first)
 	for _, candidates := range byDataCentre(first) {
-		if len(r.views) > witnesses {
+		if len(r.statuses) > maxOtherNodes {
 			break
 		}
-		view, err := a.askOne(ctx, candidates)
+		status, err := a.firstStatus(ctx, candidates)
 		if err != nil {
-			r.silent = append(r.silent, cause(err))
+			r.failures = append(r.failures, errorCause(err))
 			continue
 		}
-		r.views = append(r.views, view)
+		r.statuses = append(r.statuses, status)
 	}
 	return r, nil
 }
 
-// byDataCentre groups the other members that take work, the data centre of the
-// asked node last.
+// byDataCentre groups the other members that take work by data centre. The data centre of
+// the node that reported the status comes last.
 func byDataCentre(status admin.Status) [][]admin.Member {
 	var groups [][]admin.Member
 	for _, m := range status.Members {
@@ -120,19 +121,19 @@
 	}
 	slices.SortStableFunc(groups, func(a, b []admin.Member) int {
 		return cmp.Or(
-			count(a[0].DataCentre == status.DataCentre)-count(b[0].DataCentre == status.DataCentre),
+			boolToInt(a[0].DataCentre == status.DataCentre)-boolToInt(b[0].DataCentre == status.DataCentre),
 			strings.Compare(a[0].DataCentre, b[0].DataCentre),
 		)
 	})
 	return groups
 }
 
-// askOne returns the status of the first of the members that answers.
-func (a *app) askOne(ctx context.Context, members []admin.Member) (status admin.Status, err error) {
-	for _, m := range members[:min(len(members), witnessTries)] {
-		witness := a.client
-		witness.node = m.AdminAddress
-		status, err = witness.status(ctx)
+// firstStatus returns the status of the first member that answers, or the last error.
+func (a *app) firstStatus(ctx context.Context, members []admin.Member) (status admin.Status, err error) {
+	for _, m := range members[:min(len(members), triesPerDataCentre)] {
+		peer := a.client
+		peer.node = m.AdminAddress
+		status, err = peer.status(ctx)
 		if err == nil {
 			return status, nil
 		}
@@ -141,21 +142,21 @@
 }
 
 func (c *client) status(ctx context.Context) (status admin.Status, err error) {
-	ctx, cancel := context.WithTimeout(ctx, witnessTimeout)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	err = c.get(ctx, "/v1/status", &status)
 	return status, err
 }
 
-// cause is the message of an error as a part of another.
-func cause(err error) string {
-	return strings.TrimPrefix(message(err), "dandelionfield: ")
+// errorCause returns the text of an error for use within another error message.
+func errorCause(err error) string {
+	return strings.TrimPrefix(errorText(err), "dandelionfield: ")
 }
 
-// why says what keeps the revision from being in force everywhere, as far as the
-// nodes know; it is empty when nothing does. Fewer answers than there could be
-// prove nothing: what the silent nodes know may be missing.
-func (r rollout) why(revision int64) string {
+// lagReason returns what keeps the revision from being in force everywhere, as far as the
+// nodes know, or an empty string if nothing does. If fewer nodes answered than should have,
+// it returns their errors, since the silent nodes may know members that lag.
+func (r rolloutView) lagReason(revision int64) string {
 	var texts []string
 	for _, m := range r.members() {
 		if m.Revision < revision {
@@ -164,60 +165,61 @@
 	}
 	if len(texts) > 0 {
 		rest := ""
-		if len(texts) > listedLaggards {
-			rest = fmt.Sprintf(" and at %d more", len(texts)-listedLaggards)
+		if len(texts) > maxListedMembers {
+			rest = fmt.Sprintf(" and at %d more", len(texts)-maxListedMembers)
 		}
-		return "it lags at " + strings.Join(texts[:min(len(texts), listedLaggards)], ", ") + rest
+		return "it lags at " + strings.Join(texts[:min(len(texts), maxListedMembers)], ", ") + rest
 	}
-	if len(r.silent) > 0 && len(r.views) <= witnesses {
-		return "no second opinion: " + strings.Join(r.silent, ", ")
+	if len(r.failures) > 0 && len(r.statuses) <= maxOtherNodes {
+		return "no second opinion: " + strings.Join(r.failures, ", ")
 	}
 	return ""
 }
 
-// members returns every member that any of the nodes knows, by name.
-func (r rollout) members() []*laggard {
-	known := map[string]*laggard{}
-	for _, view := range r.views {
-		self := admin.Member{Name: view.Node, Incarnation: view.Incarnation, DataCentre: view.DataCentre, State: view.State, Revision: view.Revision}
-		silent := view.Silent()
-		for _, m := range append([]admin.Member{self}, view.Members...) {
+// members returns every member that any of the nodes knows, sorted by name and incarnation.
+func (r rolloutView) members() []*knownMember {
+	known := map[string]*knownMember{}
+	for _, status := range r.statuses {
+		self := admin.Member{Name: status.Node, Incarnation: status.Incarnation, DataCentre: status.DataCentre, State: status.State, Revision: status.Revision}
+		silent := status.Silent()
+		for _, m := range append([]admin.Member{self}, status.Members...) {
 			id := m.Name + " " + m.Incarnation
 			if known[id] == nil {
-				known[id] = &laggard{Member: m}
+				known[id] = &knownMember{Member: m}
 			}
 			known[id].Revision = max(known[id].Revision, m.Revision)
-			known[id].answers = known[id].answers || !slices.Contains(silent, m.Name)
+			known[id].answered = known[id].answered || !slices.Contains(silent, m.Name)
 		}
 	}
-	list := make([]*laggard, 0, len(known))
+	list := make([]*knownMember, 0, len(known))
 	for _, m := range known {
-		m.unknownTo = r.ignorant(m.Member)
+		m.unknownTo = r.nodeUnawareOf(m.Member)
 		list = append(list, m)
 	}
-	slices.SortFunc(list, func(a, b *laggard) int {
+	slices.SortFunc(list, func(a, b *knownMember) int {
 		return cmp.Or(strings.Compare(a.Name, b.Name), strings.Compare(a.Incarnation, b.Incarnation))
 	})
 	return list
 }
 
-// ignorant names a node that does not know the member.
-func (r rollout) ignorant(m admin.Member) string {
-	for _, view := range r.views {
-		if view.Node != m.Name && !slices.ContainsFunc(view.Members, func(other admin.Member) bool { return other.Name == m.Name }) {
-			return view.Node
+// nodeUnawareOf returns the name of a node that does not know the member, or an empty
+// string.
+func (r rolloutView) nodeUnawareOf(m admin.Member) string {
+	for _, status := range r.statuses {
+		if status.Node != m.Name && !slices.ContainsFunc(status.Members, func(other admin.Member) bool { return other.Name == m.Name }) {
+			return status.Node
 		}
 	}
 	return ""
 }
 
-// String names the member and says why it may lag.
-func (l *laggard) String() string {
+// String returns the member's name and the possible reasons why it lags.
+func (l *knownMember) String() string {
 	reasons := []string{l.DataCentre, l.State, fmt.Sprintf("has revision %d", l.Revision)}
 	if l.Revision == 0 {
 		reasons[2] = "has no revision"
 	}
-	if !l.answers {
+	if !l.answered {
 		reasons = append(reasons, "does not answer")
 	}
 	if l.unknownTo != "" {
--- a/internal/shell/watch.go
+++ b/internal/shell/watch.go
@@ -16,19 +16,20 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// listing is the answer to GET /v1/resources as far as it is read here; the
-// resources are parsed from the document.
-type listing struct {
+// resourceListing holds the fields of the responses to GET /v1/resources and
+// GET /v1/revisions/N that the commands use. The resources themselves are parsed from the
+// document.
+type resourceListing struct {
 	Revision int64  `json:"revision"`
 	Digest   string `json:"digest"`
 	Document string `json:"document"`
 }
 
 const (
-	// silenceTimeout is three heartbeats without a line: the connection is
-	// dead, whatever the kernel says.
-	silenceTimeout = 3 * admin.DefaultHeartbeat
-	// reconnectDelay is the time before a broken watch asks again.
+	// watchIdleTimeout is three heartbeat periods. A connection without a line for that
+	// long is treated as dead, even if the kernel reports no error.
+	watchIdleTimeout = 3 * admin.DefaultHeartbeat
+	// reconnectDelay is the time before a broken watch connects again.
 	reconnectDelay = time.Second
 )
 
@@ -42,7 +43,7 @@
   dandelionfield get service allowances -o yaml --node 10.0.0.7:7102`,
 		Args:      cobra.MaximumNArgs(2),
 		ValidArgs: schema.Types(),
-		RunE: work(func(command *cobra.Command, args []string) error {
+		RunE: markFailed(func(command *cobra.Command, args []string) error {
 			return a.get(command.Context(), args, revision)
 		}),
 	}
@@ -53,7 +54,7 @@
 
 func (a *app) get(ctx context.Context, args []string, revision int64) error {
 	if len(args) > 0 {
-		if err := knownType(args[0]); err != nil {
+		if err := checkType(args[0]); err != nil {
 			return err
 		}
 	}
@@ -73,7 +74,7 @@
 	if len(args) > 1 && len(selected) == 0 {
 		return BadInput.New("no %s of the name %s; see `dandelionfield get %s`", args[0], args[1], args[0])
 	}
-	// The YAML form is that of declarations, so that it can be applied again.
+	// YAML output has the format of declarations, so that it can be applied again.
 	if a.output == outputYAML {
 		_, err := a.stdout.Write(resourceYAML(documents))
 		return err
@@ -81,7 +82,7 @@
 	return a.print(selected, func(w io.Writer) { printResources(w, selected) })
 }
 
-func knownType(name string) error {
+func checkType(name string) error {
 	types := schema.Types()
 	for _, known := range types {
 		if known == name {
@@ -117,7 +118,7 @@
 		Example: `  dandelionfield watch --node 10.0.0.7:7102
   dandelionfield watch --after 41 --count 1 -o json --node 10.0.0.7:7102`,
 		Args: cobra.NoArgs,
-		RunE: work(func(command *cobra.Command, _ []string) error {
+		RunE: markFailed(func(command *cobra.Command, _ []string) error {
 			return a.watch(command.Context(), after, count)
 		}),
 	}
@@ -127,7 +128,8 @@
 	return command
 }
 
-// watch prints events until the context ends or enough have been printed.
+// watch prints events until the context ends or count events have been printed. A count of
+// 0 means no limit.
 func (a *app) watch(ctx context.Context, after int64, count int) error {
 	printed := 0
 	for ctx.Err() == nil {
@@ -147,8 +149,8 @@
 	return nil
 }
 
-// watchOnce prints the events of one connection and reports whether enough
-// have been printed.
+// watchOnce prints the events of one connection. It reports whether the watch is done,
+// either because count events have been printed or because printing failed.
 func (a *app) watchOnce(ctx context.Context, after *int64, printed *int, count int) (bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -172,13 +174,13 @@
 			if *printed == count {
 				return true, nil
 			}
-		case <-a.Clock.After(silenceTimeout):
-			return false, Failed.New("nothing heard from %s for %s", a.client.node, silenceTimeout)
+		case <-a.Clock.After(watchIdleTimeout):
+			return false, Failed.New("no data received from %s for %s", a.client.node, watchIdleTimeout)
 		}
 	}
 }
 
-// printEvent writes an event at once; JSON takes one line for each.
+// printEvent writes one event. In JSON, each event is one line.
 func (a *app) printEvent(event admin.Event) error {
 	if a.output == outputJSON {
 		return json.NewEncoder(a.stdout).Encode(event)
@@ -187,7 +189,7 @@
 		_, _ = fmt.Fprintln(a.stdout, "---")
 	}
 	return a.print(event, func(w io.Writer) {
-		_, _ = fmt.Fprintf(w, "revision %d in force, digest %s\n", event.Revision, short(event.Digest))
+		_, _ = fmt.Fprintf(w, "revision %d in force, digest %s\n", event.Revision, abbreviateDigest(event.Digest))
 		if event.Document == "" {
 			printChanges(w, event.Changes)
 		}
