--- a/cmd/dandelionfield/main.go
+++ b/cmd/dandelionfield/main.go
@@ -1,4 +1,4 @@
-// Command dandelionfield runs a node beside a target and drives a mesh of them.
+// Command dandelionfield runs the node beside a target and administers a mesh of nodes.
 package main
 
 import (
@@ -12,7 +12,8 @@
 )
 
 func main() {
-	// Each call draws several ids; one read of the system's random numbers serves many.
+	// Each call generates several UUIDs; the pool serves many of them from one read of the
+	// system's random source.
 	uuid.EnableRandPool()
 	os.Exit(shell.Main(os.Args[1:], os.Stdout, os.Stderr, shell.Seams{RunNode: node.Run, RunSide: platform.Run}))
 }
--- a/cmd/fieldlab/main.go
+++ b/cmd/fieldlab/main.go
@@ -1,4 +1,5 @@
-// Command fieldlab holds stand-ins, load and replay for trying dandelionfield.
+// Command fieldlab provides test servers, a load generator and trace replay for testing
+// dandelionfield.
 package main
 
 import (
