--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -25,13 +25,13 @@
 	"github.com/dandelionfield/dandelionfield/internal/shell"
 )
 
-// mesh is the processes of one trial, each known by its name.
+// mesh holds the processes of one trial by name.
 type mesh struct {
 	mu        sync.Mutex
 	dir       string
 	processes map[string]*process
-	// history is what watch_revisions has seen.
-	history *history
+	// history holds the revisions that watch_revisions has seen.
+	history *revisionHistory
 }
 
 type process struct {
@@ -42,25 +42,27 @@
 
 type meshKey struct{}
 
-// timedVariable turns on the statements that depend on the speed of the host.
+// timedVariable is the environment variable that enables the checks that depend on the
+// speed of the host.
 const timedVariable = "TRIALS_TIMED"
 
-// seedVariable holds a seed in place of that of the layout.
+// seedVariable is the environment variable for a seed that overrides that of the layout.
 const seedVariable = "TRIALS_SEED"
 
 const (
-	// startTimeout bounds the start of a process on a busy host.
+	// startTimeout limits how long a process takes to start, on a busy host too.
 	startTimeout = 20 * time.Second
-	// stopTimeout bounds a planned stop, past which the process is killed.
+	// stopTimeout limits a graceful stop. The trial fails if a process takes longer, and
+	// the process is killed.
 	stopTimeout = 20 * time.Second
-	// maxMeshes is how many meshes run at the same time.
+	// maxMeshes is how many meshes may run at the same time.
 	maxMeshes = 4
-	// networkTries is how many networks are tried before a trial gives up.
-	networkTries = 50
+	// maxNetworkTries is how many networks are tried before the trial fails.
+	maxNetworkTries = 50
 )
 
-// running holds a token for each mesh that runs.
-var running = make(chan struct{}, maxMeshes)
+// meshSlots is a semaphore with one element for each running mesh.
+var meshSlots = make(chan struct{}, maxMeshes)
 
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
@@ -85,8 +87,8 @@
 			env.Setenv("WIDE", filepath.Join(firms, "wide"))
 			return nil
 		},
-		// Statements about how much got through depend on how busy the host is.
-		// They are judged by `make prove` on a quiet one, and never in CI.
+		// Checks of how many requests succeeded depend on how busy the host is. Only
+		// `make prove` enables them, to be run on an idle host, and CI never does.
 		Condition: func(condition string) (bool, error) {
 			if condition != "timed" {
 				return false, fmt.Errorf("unknown condition %s", condition)
@@ -97,45 +99,45 @@
 			"mesh":    startMesh,
 			"signal":  signalProcess,
 			"restart": restart,
-			"leave":   leave,
-			"expect":  expect,
+			"leave":   stopProcesses,
+			"expect":  requireField,
 			"switch":  faultSwitch,
-			"logged":  logged,
-			"ended":   ended,
-			"declare": declare,
-			"contend": contend,
-			"share":   share,
-			"spared":  spared,
-			"prompt":  prompt,
-			"stats":   stats,
-			"owner":   owner,
-			"holds":   holds,
-			"level":   level,
-
-			"in_force":        inForce,
-			"comes_to":        comesTo,
+			"logged":  requireLogged,
+			"ended":   awaitEnd,
+			"declare": copyDeclarations,
+			"contend": applyConcurrently,
+			"share":   requireShare,
+			"spared":  requireLowerLoss,
+			"prompt":  requireP99Below,
+			"stats":   saveStats,
+			"owner":   findOwner,
+			"holds":   requireOwner,
+			"level":   awaitEvenOwners,
+
+			"in_force":        requireInForce,
+			"comes_to":        requirePropagation,
 			"watch_revisions": watchRevisions,
-			"revisions_rose":  revisionsRose,
+			"revisions_rose":  requireRevisionsRose,
 			"note_calls":      noteCalls,
-			"no_calls_since":  noCallsSince,
-			"disturb":         disturb,
+			"no_calls_since":  requireNoCallsSince,
+			"disturb":         injectFaults,
 		},
 	})
 }
 
-// startMesh [-naive] [-wire HOST]... [-all-wires] starts the platform, the
-// targets and the nodes, and applies the declarations. With -naive, naive relays
-// take the place of nodes. With -wire, other nodes reach that of a host through a
-// wire; with -all-wires all nodes and the platform are behind wires. NETWORK
-// becomes the first three parts of the addresses.
+// startMesh [-naive] [-wire HOST]... [-all-wires] starts the platform, the targets and the
+// nodes, and applies the declarations. With -naive, it starts naive relays instead of nodes.
+// With -wire, other nodes reach the node of a host through a fault-injecting proxy, called a
+// wire. With -all-wires, all nodes and the platform are behind wires. It sets NETWORK to the
+// first three octets of the addresses.
 func startMesh(ts *testscript.TestScript, neg bool, args []string) {
 	m := ts.Value(meshKey{}).(*mesh)
-	running <- struct{}{}
+	meshSlots <- struct{}{}
 	ts.Defer(func() {
-		m.end()
-		<-running
+		m.killAll()
+		<-meshSlots
 	})
-	network := takeNetwork(ts)
+	network := reserveNetwork(ts)
 	ts.Setenv("NETWORK", network)
 	layout := []string{"layout", "--firm", ts.Getenv("FIRM"), "--out", m.dir, "--network", network}
 	if seed := os.Getenv(seedVariable); seed != "" {
@@ -172,11 +174,11 @@
 	}
 }
 
-// takeNetwork finds three parts of addresses that no other trial uses. The
-// listener stands for them until the trial ends, so that trials of several
-// checkouts on one host do not meet.
-func takeNetwork(ts *testscript.TestScript) string {
-	for range networkTries {
+// reserveNetwork returns the first three octets of a loopback network that no other trial
+// uses. A listener reserves the network until the trial ends, so that trials of several
+// checkouts on one host do not interfere.
+func reserveNetwork(ts *testscript.TestScript) string {
+	for range maxNetworkTries {
 		network := fmt.Sprintf("127.%d.%d", 1+rand.IntN(254), rand.IntN(256))
 		listener, err := net.Listen("tcp", network+".254:7199")
 		if err == nil {
@@ -184,11 +186,12 @@
 			return network
 		}
 	}
-	ts.Fatalf("no free network")
+	ts.Fatalf("no free loopback network")
 	return ""
 }
 
-// signalProcess SIGNAL NAME... sends a signal by name.
+// signalProcess SIGNAL NAME... sends a signal to processes. SIGNAL is KILL, STOP, CONT or
+// TERM.
 func signalProcess(ts *testscript.TestScript, neg bool, args []string) {
 	m := ts.Value(meshKey{}).(*mesh)
 	signals := map[string]syscall.Signal{
@@ -199,7 +202,7 @@
 	}
 }
 
-// restart NAME... waits for the end of processes and starts them again.
+// restart NAME... waits until processes have ended and starts them again.
 func restart(ts *testscript.TestScript, neg bool, args []string) {
 	m := ts.Value(meshKey{}).(*mesh)
 	for _, name := range args {
@@ -209,31 +212,31 @@
 	}
 }
 
-// leave NAME... asks processes to stop and waits for their own end.
-func leave(ts *testscript.TestScript, neg bool, args []string) {
+// stopProcesses NAME... sends SIGTERM to processes and waits until they have ended.
+func stopProcesses(ts *testscript.TestScript, neg bool, args []string) {
 	m := ts.Value(meshKey{}).(*mesh)
 	for _, name := range args {
 		ts.Check(m.get(ts, name).command.Process.Signal(syscall.SIGTERM))
-		ended(ts, neg, []string{name})
+		awaitEnd(ts, neg, []string{name})
 	}
 }
 
-// ended NAME... waits until processes that were asked to stop have ended.
-func ended(ts *testscript.TestScript, neg bool, args []string) {
+// awaitEnd NAME... waits until processes that were asked to stop have ended.
+func awaitEnd(ts *testscript.TestScript, neg bool, args []string) {
 	m := ts.Value(meshKey{}).(*mesh)
 	for _, name := range args {
 		p := m.get(ts, name)
 		select {
 		case <-p.ended:
 		case <-time.After(stopTimeout):
-			ts.Fatalf("%s did not stop by itself", name)
+			ts.Fatalf("%s did not stop in time", name)
 		}
 	}
 }
 
-// expect FILE FIELD OPERATOR NUMBER compares a field of a JSON report; fields
-// inside others are named with dots.
-func expect(ts *testscript.TestScript, neg bool, args []string) {
+// requireField FILE FIELD OPERATOR NUMBER compares a field of a JSON report with a number.
+// Nested fields are separated by dots, and a missing field counts as 0.
+func requireField(ts *testscript.TestScript, neg bool, args []string) {
 	var report any
 	ts.Check(json.Unmarshal([]byte(ts.ReadFile(args[0])), &report))
 	found := 0.0
@@ -247,11 +250,11 @@
 	bound, err := strconv.ParseFloat(args[3], 64)
 	ts.Check(err)
 	if !compare(found, args[2], bound) {
-		ts.Fatalf("%s is %v, and %s %v must hold", args[1], found, args[2], bound)
+		ts.Fatalf("%s is %v, want %s %v", args[1], found, args[2], bound)
 	}
 }
 
-// faultSwitch ADDRESS JSON posts a switch to a stand-in.
+// faultSwitch ADDRESS JSON sets the fault switches of a test server or wire.
 func faultSwitch(ts *testscript.TestScript, neg bool, args []string) {
 	response, err := http.Post("http://"+args[0]+"/-/faults", "application/json", strings.NewReader(args[1]))
 	ts.Check(err)
@@ -262,8 +265,9 @@
 	}
 }
 
-// logged NAME TEXT requires that a process has logged a text.
-func logged(ts *testscript.TestScript, neg bool, args []string) {
+// requireLogged NAME TEXT requires that the log of a process contains a text. With !, it
+// requires that the log does not contain the text.
+func requireLogged(ts *testscript.TestScript, neg bool, args []string) {
 	m := ts.Value(meshKey{}).(*mesh)
 	log, err := os.ReadFile(filepath.Join(m.dir, args[0]+".log"))
 	ts.Check(err)
@@ -272,7 +276,8 @@
 	}
 }
 
-// startAll starts the processes of one kind and waits until they listen.
+// startAll starts one process for each settings file of a kind, and waits until all listen
+// on the address of their setting listen.
 func (m *mesh) startAll(ts *testscript.TestScript, program, kind, listen string) {
 	files := mustGlob(ts, filepath.Join(m.dir, kind+"-*.yaml"))
 	for _, file := range files {
@@ -317,8 +322,8 @@
 	return p
 }
 
-// end kills what is left of a trial.
-func (m *mesh) end() {
+// killAll kills all processes of the trial that still run.
+func (m *mesh) killAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.processes {
@@ -327,7 +332,7 @@
 	}
 }
 
-// binaries is the directory in which testscript.Main put the programs.
+// binaries returns the directory in which testscript.Main has put the programs.
 func binaries(ts *testscript.TestScript) string {
 	first, _, _ := strings.Cut(ts.Getenv("PATH"), string(os.PathListSeparator))
 	return first
@@ -350,7 +355,7 @@
 }
 
 func waitPort(ts *testscript.TestScript, address string) {
-	await(ts, "listen on "+address, func() bool {
+	waitUntil(ts, "listen on "+address, func() bool {
 		response, err := http.Get("http://" + address + "/-/stats")
 		if err == nil {
 			response.Body.Close()
@@ -360,7 +365,7 @@
 }
 
 func waitReady(ts *testscript.TestScript, address string) {
-	await(ts, "ready at "+address, func() bool {
+	waitUntil(ts, "ready at "+address, func() bool {
 		response, err := http.Get("http://" + address + "/readyz")
 		if err != nil {
 			return false
@@ -370,11 +375,11 @@
 	})
 }
 
-func await(ts *testscript.TestScript, what string, holds func() bool) {
-	for left := looks(startTimeout); !holds(); left-- {
+func waitUntil(ts *testscript.TestScript, what string, holds func() bool) {
+	for left := pollCount(startTimeout); !holds(); left-- {
 		if left <= 0 {
-			ts.Fatalf("not within %s: %s", startTimeout, what)
+			ts.Fatalf("timed out after %s waiting for: %s", startTimeout, what)
 		}
-		time.Sleep(lookInterval)
+		time.Sleep(pollInterval)
 	}
 }
--- a/internal/proof/soak_test.go
+++ b/internal/proof/soak_test.go
@@ -13,73 +13,78 @@
 )
 
 type (
-	// soak disturbs a mesh at random: each fault at a moment, at a place and for a
-	// time that are drawn. The same seed draws the same faults.
-	soak struct {
+	// faultInjector injects random faults into a mesh: the time, the place and the duration
+	// of each fault are random. The same seed generates the same faults.
+	faultInjector struct {
 		ts     *testscript.TestScript
 		mesh   *mesh
 		random *rand.Rand
 		nodes  []string
-		// targets and platform are the addresses of the stand-ins' switches.
+		// targets and platform are the addresses of the test servers' fault switches.
 		targets  []string
 		platform string
-		// owed ends the faults under way, by the place they are at.
-		owed map[string]owing
+		// active holds the active faults by place.
+		active map[string]activeFault
 	}
 
-	// owing is how a fault ends, and when that is due. The end says whether it has
-	// come: a node that leaves takes its time.
-	owing struct {
+	// activeFault holds when a fault is due to end, and the function that ends it. The
+	// function reports whether the fault has ended, because a node that stops gracefully
+	// takes a while.
+	activeFault struct {
 		at  time.Time
 		end func() bool
 	}
 
-	// fault begins at a place, and returns how it ends.
+	// fault describes a kind of fault. The function begin starts the fault at a place and
+	// returns the function that ends it.
 	fault struct {
-		name   string
-		places func(s *soak) []string
-		begin  func(s *soak, place string) (end func() bool)
+		name       string
+		candidates func(s *faultInjector) []string
+		begin      func(s *faultInjector, place string) (end func() bool)
 	}
 )
 
 const (
-	// soakSeedVariable holds the seed of the faults; without it the seed is 1.
+	// soakSeedVariable is the environment variable for the seed of the faults. The default
+	// seed is 1.
 	soakSeedVariable = "SOAK_SEED"
-	// leastPause and mostPause bound the time between the beginnings of two faults.
-	leastPause = 150 * time.Millisecond
-	mostPause  = 900 * time.Millisecond
-	// leastFault and mostFault bound how long one lasts.
-	leastFault = 100 * time.Millisecond
-	mostFault  = 2500 * time.Millisecond
+	// minPause and maxPause limit the time between the beginnings of two faults.
+	minPause = 150 * time.Millisecond
+	maxPause = 900 * time.Millisecond
+	// minFaultDuration and maxFaultDuration limit how long a fault lasts.
+	minFaultDuration = 100 * time.Millisecond
+	maxFaultDuration = 2500 * time.Millisecond
 )
 
-// faults are all that may happen, several at once and more than once.
+// faults lists all kinds of faults. Several may be active at once, and each may occur more
+// than once.
 var faults = []fault{
-	{"kill", theNodes, func(s *soak, place string) func() bool { return s.replaced("KILL", place) }},
-	{"leave", theNodes, func(s *soak, place string) func() bool { return s.replaced("TERM", place) }},
-	{"freeze", theNodes, func(s *soak, place string) func() bool {
+	{"kill", nodePlaces, func(s *faultInjector, place string) func() bool { return s.replaceNode("KILL", place) }},
+	{"leave", nodePlaces, func(s *faultInjector, place string) func() bool { return s.replaceNode("TERM", place) }},
+	{"freeze", nodePlaces, func(s *faultInjector, place string) func() bool {
 		signalProcess(s.ts, false, []string{"STOP", place})
 		return func() bool {
 			signalProcess(s.ts, false, []string{"CONT", place})
 			return true
 		}
 	}},
-	{"target slow", theTargets, switched(`{"slow_factor": 8}`, `{"slow_factor": 1}`)},
-	{"target hangs", theTargets, switched(`{"frozen": true, "lying_health": true}`, `{"frozen": false, "lying_health": false}`)},
-	{"target fails", theTargets, switched(`{"fail_share": 0.5}`, `{"fail_share": 0}`)},
-	{"answers cut off", theTargets, switched(`{"truncate_share": 0.5}`, `{"truncate_share": 0}`)},
-	{"platform down", thePlatform, switched(`{"down": true}`, `{}`)},
-	{"platform slow", thePlatform, switched(`{"delay_ms": 1500}`, `{}`)},
-	{"platform loses answers", thePlatform, switched(`{"lose_answers": 0.5}`, `{}`)},
+	{"target slow", targetPlaces, switchFault(`{"slow_factor": 8}`, `{"slow_factor": 1}`)},
+	{"target hangs", targetPlaces, switchFault(`{"frozen": true, "lying_health": true}`, `{"frozen": false, "lying_health": false}`)},
+	{"target fails", targetPlaces, switchFault(`{"fail_share": 0.5}`, `{"fail_share": 0}`)},
+	{"answers cut off", targetPlaces, switchFault(`{"truncate_share": 0.5}`, `{"truncate_share": 0}`)},
+	{"platform down", platformPlace, switchFault(`{"down": true}`, `{}`)},
+	{"platform slow", platformPlace, switchFault(`{"delay_ms": 1500}`, `{}`)},
+	{"platform loses answers", platformPlace, switchFault(`{"lose_answers": 0.5}`, `{}`)},
 }
 
-func theNodes(s *soak) []string    { return s.nodes }
-func theTargets(s *soak) []string  { return s.targets }
-func thePlatform(s *soak) []string { return []string{s.platform} }
+func nodePlaces(s *faultInjector) []string    { return s.nodes }
+func targetPlaces(s *faultInjector) []string  { return s.targets }
+func platformPlace(s *faultInjector) []string { return []string{s.platform} }
 
-// switched is a fault that a stand-in plays.
-func switched(on, off string) func(s *soak, place string) func() bool {
-	return func(s *soak, place string) func() bool {
+// switchFault returns the begin function of a fault that a test server simulates. The fault
+// begins by posting the switches on, and ends by posting off.
+func switchFault(on, off string) func(s *faultInjector, place string) func() bool {
+	return func(s *faultInjector, place string) func() bool {
 		faultSwitch(s.ts, false, []string{place, on})
 		return func() bool {
 			faultSwitch(s.ts, false, []string{place, off})
@@ -88,8 +93,9 @@
 	}
 }
 
-// replaced ends a node by a signal, and starts it again when it has ended.
-func (s *soak) replaced(signal, node string) func() bool {
+// replaceNode ends a node by a signal. The returned function starts the node again once it
+// has ended.
+func (s *faultInjector) replaceNode(signal, node string) func() bool {
 	signalProcess(s.ts, false, []string{signal, node})
 	return func() bool {
 		select {
@@ -102,8 +108,8 @@
 	}
 }
 
-// disturb SECONDS plays random faults for that time, and then ends all of them.
-func disturb(ts *testscript.TestScript, neg bool, args []string) {
+// injectFaults SECONDS injects random faults for that time, and then ends all of them.
+func injectFaults(ts *testscript.TestScript, neg bool, args []string) {
 	seconds, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	seed := uint64(1)
@@ -111,26 +117,26 @@
 		seed, err = strconv.ParseUint(text, 10, 64)
 		ts.Check(err)
 	}
-	s := newSoak(ts, seed)
+	s := newFaultInjector(ts, seed)
 	began := time.Now()
 	for end := began.Add(time.Duration(seconds) * time.Second); time.Now().Before(end); {
-		s.pass(s.between(leastPause, mostPause))
-		s.draw(began)
+		s.wait(s.between(minPause, maxPause))
+		s.injectRandom(began)
 	}
-	await(ts, "the end of all faults", func() bool {
-		s.end(time.Now().Add(mostFault))
-		return len(s.owed) == 0
+	waitUntil(ts, "the end of all faults", func() bool {
+		s.endDue(time.Now().Add(maxFaultDuration))
+		return len(s.active) == 0
 	})
 }
 
-func newSoak(ts *testscript.TestScript, seed uint64) *soak {
+func newFaultInjector(ts *testscript.TestScript, seed uint64) *faultInjector {
 	m := ts.Value(meshKey{}).(*mesh)
-	s := &soak{
+	s := &faultInjector{
 		ts:       ts,
 		mesh:     m,
 		random:   rand.New(rand.NewPCG(seed, 0)),
 		platform: ts.Getenv("NETWORK") + ".200:7104",
-		owed:     map[string]owing{},
+		active:   map[string]activeFault{},
 	}
 	ts.Logf("faults of seed %d", seed)
 	for name := range m.processes {
@@ -145,35 +151,35 @@
 	return s
 }
 
-// draw begins one fault, unless another is under way at its place.
-func (s *soak) draw(began time.Time) {
-	drawn := faults[s.random.IntN(len(faults))]
-	places := drawn.places(s)
+// injectRandom begins one random fault, unless another fault is active at its place.
+func (s *faultInjector) injectRandom(began time.Time) {
+	chosen := faults[s.random.IntN(len(faults))]
+	places := chosen.candidates(s)
 	place := places[s.random.IntN(len(places))]
-	length := s.between(leastFault, mostFault)
-	if _, busy := s.owed[place]; busy {
+	length := s.between(minFaultDuration, maxFaultDuration)
+	if _, busy := s.active[place]; busy {
 		return
 	}
-	s.ts.Logf("%s: %s at %s for %s", time.Since(began).Round(time.Millisecond), drawn.name, place, length.Round(time.Millisecond))
-	s.owed[place] = owing{at: time.Now().Add(length), end: drawn.begin(s, place)}
+	s.ts.Logf("%s: %s at %s for %s", time.Since(began).Round(time.Millisecond), chosen.name, place, length.Round(time.Millisecond))
+	s.active[place] = activeFault{at: time.Now().Add(length), end: chosen.begin(s, place)}
 }
 
-// pass lets time go by, and ends the faults that are due.
-func (s *soak) pass(length time.Duration) {
-	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(lookInterval) {
-		s.end(time.Now())
+// wait waits for the given time, and meanwhile ends the faults that are due.
+func (s *faultInjector) wait(length time.Duration) {
+	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(pollInterval) {
+		s.endDue(time.Now())
 	}
 }
 
-// end ends the faults that are due by a time.
-func (s *soak) end(by time.Time) {
-	for place, due := range s.owed {
-		if !due.at.After(by) && due.end() {
-			delete(s.owed, place)
+// endDue ends the faults that are due by the given time.
+func (s *faultInjector) endDue(by time.Time) {
+	for place, running := range s.active {
+		if !running.at.After(by) && running.end() {
+			delete(s.active, place)
 		}
 	}
 }
 
-func (s *soak) between(least, most time.Duration) time.Duration {
+func (s *faultInjector) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.random.Float64()*float64(most-least))
 }
--- a/internal/proof/steps_test.go
+++ b/internal/proof/steps_test.go
@@ -27,91 +27,91 @@
 )
 
 type (
-	// operator is one apply that runs beside another.
-	operator struct {
-		firm string
-		code int
-		said string
+	// applyRun is one run of the apply command, concurrent with another.
+	applyRun struct {
+		dir    string
+		code   int
+		output string
 	}
 
-	// history is the revisions that the nodes showed, in the order of the looks.
-	history struct {
-		stop  context.CancelFunc
-		ended chan struct{}
-		shown map[string][]int64
+	// revisionHistory holds the revisions that each node reported, in the order of the polls.
+	revisionHistory struct {
+		stop      context.CancelFunc
+		ended     chan struct{}
+		revisions map[string][]int64
 	}
 )
 
 const (
-	// promisedTime is how soon a change is in force.
-	promisedTime = 4 * time.Second
-	// inForceTimeout is the promised time and a reserve for a busy host.
+	// maxPropagationTime is the guaranteed time within which a change comes into force.
+	maxPropagationTime = 4 * time.Second
+	// inForceTimeout is maxPropagationTime plus a reserve for a busy host.
 	inForceTimeout = 10 * time.Second
-	// lookInterval is the time between two looks at the revisions of all nodes.
-	lookInterval = 50 * time.Millisecond
-	// statusTimeout bounds one look at a node, which may be frozen or gone. A node
-	// itself waits a second for the members that are silent.
+	// pollInterval is the time between two polls.
+	pollInterval = 50 * time.Millisecond
+	// statusTimeout limits one status request, as the node may be frozen or dead. A node
+	// itself waits up to a second for silent members before it answers.
 	statusTimeout = 2 * time.Second
 )
 
-// declare FIRM OLD NEW copies the firm's directory, with one text of the
-// declarations replaced. In both texts, \n stands for a new line.
-func declare(ts *testscript.TestScript, neg bool, args []string) {
+// copyDeclarations DIR OLD NEW copies the directory FIRM to DIR and replaces the only
+// occurrence of OLD in the declarations by NEW. In both texts, \n stands for a line break.
+func copyDeclarations(ts *testscript.TestScript, neg bool, args []string) {
 	firm := ts.MkAbs(args[0])
 	ts.Check(os.CopyFS(firm, os.DirFS(ts.Getenv("FIRM"))))
 	path := filepath.Join(firm, "mesh", "mesh.yaml")
 	text := ts.ReadFile(path)
 	former, latter := strings.ReplaceAll(args[1], `\n`, "\n"), strings.ReplaceAll(args[2], `\n`, "\n")
 	if strings.Count(text, former) != 1 {
-		ts.Fatalf("%q does not stand once in the declarations", former)
+		ts.Fatalf("%q does not occur exactly once in the declarations", former)
 	}
 	ts.Check(os.WriteFile(path, []byte(strings.Replace(text, former, latter, 1)), 0o644))
 }
 
-// contend REVISION FIRM NODE FIRM NODE lets two operators apply at the same
-// moment, both expecting the revision. One must win, and the other must hear of
-// both revisions. WINNER becomes the firm of the one who won.
-func contend(ts *testscript.TestScript, neg bool, args []string) {
+// applyConcurrently REVISION DIR NODE DIR NODE runs two apply commands at the same time that
+// both expect the revision. One must succeed. The other must end in a conflict whose message
+// names both revisions. It sets WINNER to the directory of the one that succeeded.
+func applyConcurrently(ts *testscript.TestScript, neg bool, args []string) {
 	expected, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	var both [2]operator
+	var both [2]applyRun
 	var ended sync.WaitGroup
 	for i := range both {
-		both[i].firm = ts.MkAbs(args[1+2*i])
+		both[i].dir = ts.MkAbs(args[1+2*i])
 		command := exec.Command(filepath.Join(binaries(ts), "dandelionfield"), "apply", "--expected", args[0],
-			"-f", filepath.Join(both[i].firm, "mesh"), "--node", args[2+2*i])
+			"-f", filepath.Join(both[i].dir, "mesh"), "--node", args[2+2*i])
 		command.Env = append(os.Environ(), "DANDELIONFIELD_TOKEN="+ts.Getenv("DANDELIONFIELD_TOKEN"))
 		ended.Go(func() {
-			said, _ := command.CombinedOutput()
-			both[i].code, both[i].said = command.ProcessState.ExitCode(), string(said)
+			printed, _ := command.CombinedOutput()
+			both[i].code, both[i].output = command.ProcessState.ExitCode(), string(printed)
 		})
 	}
 	ended.Wait()
-	slices.SortFunc(both[:], func(a, b operator) int { return a.code - b.code })
+	slices.SortFunc(both[:], func(a, b applyRun) int { return a.code - b.code })
 	won, lost := both[0], both[1]
 	if won.code != shell.ExitOK || lost.code != shell.ExitConflict {
-		ts.Fatalf("one must win and the other meet a conflict:\n%d %s\n%d %s", won.code, won.said, lost.code, lost.said)
+		ts.Fatalf("one apply must succeed and the other end in a conflict:\n%d %s\n%d %s", won.code, won.output, lost.code, lost.output)
 	}
 	for _, revision := range []int{expected, expected + 1} {
-		if !strings.Contains(lost.said, fmt.Sprintf("revision %d", revision)) {
-			ts.Fatalf("the other operator was not told of revision %d: %s", revision, lost.said)
+		if !strings.Contains(lost.output, fmt.Sprintf("revision %d", revision)) {
+			ts.Fatalf("the conflict message does not name revision %d: %s", revision, lost.output)
 		}
 	}
-	ts.Setenv("WINNER", won.firm)
+	ts.Setenv("WINNER", won.dir)
 }
 
-// inForce REVISION FIRM requires that the revision comes into force at every
-// node in time, with the declarations of the firm.
-func inForce(ts *testscript.TestScript, neg bool, args []string) {
+// requireInForce REVISION DIR requires that the revision, with the declarations in DIR, comes
+// into force at every node within inForceTimeout.
+func requireInForce(ts *testscript.TestScript, neg bool, args []string) {
 	revision, err := strconv.ParseInt(args[0], 10, 64)
 	ts.Check(err)
 	declared, err := schema.ParseDir(filepath.Join(ts.MkAbs(args[1]), "mesh"))
 	ts.Check(err)
 	digest := config.Digest(declared.Document())
-	left := looks(inForceTimeout)
+	left := pollCount(inForceTimeout)
 	for _, address := range adminAddresses(ts) {
-		// A node that was just started answers nobody yet.
-		await(ts, "answer at "+address, func() bool {
+		// A node that has just started does not answer yet.
+		waitUntil(ts, "answer at "+address, func() bool {
 			_, err := statusOf(address, ts.Getenv("DANDELIONFIELD_TOKEN"))
 			return err == nil
 		})
@@ -119,25 +119,26 @@
 	}
 }
 
-// comesTo REVISION ADDRESS requires that the revision comes into force at the node
-// within the promised time, and not that it already is when the operator hears of
-// its acceptance.
-func comesTo(ts *testscript.TestScript, neg bool, args []string) {
+// requirePropagation REVISION ADDRESS requires that the revision comes into force at the node
+// within maxPropagationTime. The revision need not be in force there yet when apply reports
+// that it was accepted.
+func requirePropagation(ts *testscript.TestScript, neg bool, args []string) {
 	revision, err := strconv.ParseInt(args[0], 10, 64)
 	ts.Check(err)
 	began := time.Now()
-	awaitRevision(ts, args[1], looks(inForceTimeout), revision, "")
+	awaitRevision(ts, args[1], pollCount(inForceTimeout), revision, "")
 	status, err := statusOf(args[1], ts.Getenv("DANDELIONFIELD_TOKEN"))
 	ts.Check(err)
-	// A look takes a second in a cut, so that the node tells since when it has it.
+	// A status request takes a second during a network partition, so the moment at which the
+	// revision came into force is computed from the age that the node reports.
 	age := time.Duration(status.RevisionAgeMS) * time.Millisecond
-	if took := time.Since(began) - age; took > promisedTime {
-		ts.Fatalf("revision %d came into force at %s after %s", revision, args[1], took)
+	if took := time.Since(began) - age; took > maxPropagationTime {
+		ts.Fatalf("revision %d came into force at %s only after %s", revision, args[1], took)
 	}
 }
 
-// awaitRevision looks until the node shows the revision, and the digest unless that
-// is empty. It returns how many of the looks are left.
+// awaitRevision polls until the node reports the revision, and the digest unless that is
+// empty. It returns how many of the polls are left.
 func awaitRevision(ts *testscript.TestScript, address string, left int, revision int64, digest string) int {
 	for ; ; left-- {
 		status, err := statusOf(address, ts.Getenv("DANDELIONFIELD_TOKEN"))
@@ -145,21 +146,21 @@
 			return left
 		}
 		if left <= 0 {
-			ts.Fatalf("%s shows revision %d (%s) and not %d (%s): %v\n%s", address,
+			ts.Fatalf("%s reports revision %d (%s), want %d (%s): %v\n%s", address,
 				status.Revision, status.Digest, revision, digest, err, logOf(ts, address))
 		}
-		time.Sleep(lookInterval)
+		time.Sleep(pollInterval)
 	}
 }
 
-// looks is how many looks, each after lookInterval, a time allows. They are
-// counted in place of the time itself: where a whole host is paused, its clock
-// moves on without its processes.
-func looks(timeout time.Duration) int {
-	return int(timeout / lookInterval)
+// pollCount returns how many polls, one per pollInterval, fit into a timeout. The waits count
+// polls instead of measuring time, because the clock of a host that is paused as a whole
+// moves on while its processes do not.
+func pollCount(timeout time.Duration) int {
+	return int(timeout / pollInterval)
 }
 
-// logOf returns what the node with the admin address has logged.
+// logOf returns the log of the node with the given admin address.
 func logOf(ts *testscript.TestScript, address string) string {
 	m := ts.Value(meshKey{}).(*mesh)
 	for _, file := range mustGlob(ts, filepath.Join(m.dir, "node-*.yaml")) {
@@ -170,67 +171,67 @@
 	return ""
 }
 
-// watchRevisions begins to look at the revision of every node.
+// watchRevisions starts to poll the revision of every node.
 func watchRevisions(ts *testscript.TestScript, neg bool, args []string) {
 	m := ts.Value(meshKey{}).(*mesh)
 	ctx, stop := context.WithCancel(context.Background())
-	h := &history{stop: stop, ended: make(chan struct{}), shown: map[string][]int64{}}
+	h := &revisionHistory{stop: stop, ended: make(chan struct{}), revisions: map[string][]int64{}}
 	addresses, token := adminAddresses(ts), ts.Getenv("DANDELIONFIELD_TOKEN")
 	go func() {
 		defer close(h.ended)
 		for ctx.Err() == nil {
 			for _, address := range addresses {
 				if status, err := statusOf(address, token); err == nil {
-					h.shown[status.Node] = append(h.shown[status.Node], status.Revision)
+					h.revisions[status.Node] = append(h.revisions[status.Node], status.Revision)
 				}
 			}
-			time.Sleep(lookInterval)
+			time.Sleep(pollInterval)
 		}
 	}()
 	ts.Defer(stop)
 	m.history = h
 }
 
-// revisionsRose NODES ends the looks, and requires that so many nodes were seen
-// and that none showed a lower revision after a higher one. Revision 0 is "none
-// yet".
-func revisionsRose(ts *testscript.TestScript, neg bool, args []string) {
+// requireRevisionsRose NODES ends the polling that watchRevisions started. It requires that
+// this many nodes answered, and that none reported a lower revision after a higher one.
+// Revision 0 means that the node has none yet, and is ignored.
+func requireRevisionsRose(ts *testscript.TestScript, neg bool, args []string) {
 	h := ts.Value(meshKey{}).(*mesh).history
 	h.stop()
 	<-h.ended
-	if want, err := strconv.Atoi(args[0]); err != nil || len(h.shown) != want {
-		ts.Fatalf("%d nodes were seen, not %s", len(h.shown), args[0])
+	if want, err := strconv.Atoi(args[0]); err != nil || len(h.revisions) != want {
+		ts.Fatalf("%d nodes answered, want %s", len(h.revisions), args[0])
 	}
-	for name, shown := range h.shown {
-		shown = slices.DeleteFunc(shown, func(revision int64) bool { return revision == 0 })
-		if !slices.IsSorted(shown) {
-			ts.Fatalf("%s showed a lower revision after a higher one: %v", name, slices.Compact(shown))
+	for name, revisions := range h.revisions {
+		revisions = slices.DeleteFunc(revisions, func(revision int64) bool { return revision == 0 })
+		if !slices.IsSorted(revisions) {
+			ts.Fatalf("%s reported a lower revision after a higher one: %v", name, slices.Compact(revisions))
 		}
 	}
 }
 
-// noteCalls NAME keeps how many calls a target has received.
+// noteCalls NAME sets CALLS to the number of calls that a target has received.
 func noteCalls(ts *testscript.TestScript, neg bool, args []string) {
-	ts.Setenv("CALLS", strconv.Itoa(arrived(ts, args[0])))
+	ts.Setenv("CALLS", strconv.Itoa(receivedCalls(ts, args[0])))
 }
 
-// noCallsSince NAME requires that no call has reached a target since noteCalls,
-// and that some did before. With ! it requires the contrary of the first.
-func noCallsSince(ts *testscript.TestScript, neg bool, args []string) {
+// requireNoCallsSince NAME requires that a target had received calls before noteCalls and has
+// received none since. With !, it requires that the target has received calls since then.
+func requireNoCallsSince(ts *testscript.TestScript, neg bool, args []string) {
 	before, err := strconv.Atoi(ts.Getenv("CALLS"))
 	ts.Check(err)
-	now := arrived(ts, args[0])
+	now := receivedCalls(ts, args[0])
 	if before == 0 || (now == before) == neg {
-		ts.Fatalf("%s had received %d calls, and has received %d", args[0], before, now)
+		ts.Fatalf("%s had received %d calls at note_calls, and has received %d now", args[0], before, now)
 	}
 }
 
-// owner SERVICE VARIABLE sets a variable to the node that owns most keys of a
-// service, once some node does.
-func owner(ts *testscript.TestScript, neg bool, args []string) {
-	await(ts, "owners of "+args[0], func() bool { return len(holders(ts, args[0])) > 0 })
+// findOwner SERVICE VARIABLE waits until the keys of a service have owners, and sets a
+// variable to the node that owns most of them.
+func findOwner(ts *testscript.TestScript, neg bool, args []string) {
+	waitUntil(ts, "owners of "+args[0], func() bool { return len(slotsByOwner(ts, args[0])) > 0 })
 	most := ""
-	held := holders(ts, args[0])
+	held := slotsByOwner(ts, args[0])
 	for name, slots := range held {
 		if slots > held[most] {
 			most = name
@@ -239,13 +240,13 @@
 	ts.Setenv(args[1], most)
 }
 
-// level SERVICE SLOTS waits until every node that owns keys of a service, minted
-// now, owns this many slots of them.
-func level(ts *testscript.TestScript, neg bool, args []string) {
+// awaitEvenOwners SERVICE SLOTS waits until every node that owns keys of a service owns this
+// many slots of the keys that are minted now.
+func awaitEvenOwners(ts *testscript.TestScript, neg bool, args []string) {
 	slots, err := strconv.Atoi(args[1])
 	ts.Check(err)
-	await(ts, "level owners of "+args[0], func() bool {
-		held := holders(ts, args[0])
+	waitUntil(ts, "evenly spread owners of "+args[0], func() bool {
+		held := slotsByOwner(ts, args[0])
 		for _, count := range held {
 			if count != slots {
 				return false
@@ -255,16 +256,18 @@
 	})
 }
 
-// holds SERVICE NAME requires that the node owns keys that are minted now.
-func holds(ts *testscript.TestScript, neg bool, args []string) {
-	held := holders(ts, args[0])
+// requireOwner SERVICE NAME requires that the node owns keys of the service that are minted
+// now. With !, it requires that the node owns none.
+func requireOwner(ts *testscript.TestScript, neg bool, args []string) {
+	held := slotsByOwner(ts, args[0])
 	if (held[args[1]] > 0) == neg {
-		ts.Fatalf("slots of %s by holder: %v", args[0], held)
+		ts.Fatalf("slots of %s by owner: %v", args[0], held)
 	}
 }
 
-// holders counts the slots of a service by the node that owns the keys minted now.
-func holders(ts *testscript.TestScript, service string) map[string]int {
+// slotsByOwner returns, by node, how many of a service's slots a node owns for keys that are
+// minted now.
+func slotsByOwner(ts *testscript.TestScript, service string) map[string]int {
 	m := ts.Value(meshKey{}).(*mesh)
 	store := plat.NewClient(setting(ts, mustGlob(ts, filepath.Join(m.dir, "node-*.yaml"))[0], "platform_address"), plat.Limits{})
 	row, err := store.Get(context.Background(), "owners", service)
@@ -286,22 +289,23 @@
 	return held
 }
 
-// share FILE PHASE KIND OPERATOR NUMBER|KIND compares the share of good
-// requests of a kind in a phase with a number or with that of another kind.
-func share(ts *testscript.TestScript, neg bool, args []string) {
+// requireShare FILE PHASE KIND OPERATOR NUMBER|KIND compares the share of good requests of a
+// kind in a phase with a number, or with the share of another kind.
+func requireShare(ts *testscript.TestScript, neg bool, args []string) {
 	bound, err := strconv.ParseFloat(args[4], 64)
 	if errors.Is(err, strconv.ErrSyntax) {
 		bound = shareOf(ts, args[0], args[1], args[4])
 	}
 	if found := shareOf(ts, args[0], args[1], args[2]); !compare(found, args[3], bound) {
-		ts.Fatalf("%.3f of %s in %s are good, and %s %v must hold", found, args[2], args[1], args[3], bound)
+		ts.Fatalf("%.3f of %s in %s are good, want %s %v", found, args[2], args[1], args[3], bound)
 	}
 }
 
-// spared FILE PHASE KIND KIND requires that the share of the first kind that was
-// lost in a phase is at most half of that of the second kind, and that some of
-// the second were lost. Without an order of refusal the two are about equal.
-func spared(ts *testscript.TestScript, neg bool, args []string) {
+// requireLowerLoss FILE PHASE KIND KIND requires that the lost share of the first kind's
+// requests in a phase is at most half of that of the second kind, and that some requests of
+// the second kind were lost. Without load shedding by importance, the two shares are about
+// equal.
+func requireLowerLoss(ts *testscript.TestScript, neg bool, args []string) {
 	first := 1 - shareOf(ts, args[0], args[1], args[2])
 	second := 1 - shareOf(ts, args[0], args[1], args[3])
 	if second == 0 || first > second/2 {
@@ -309,9 +313,9 @@
 	}
 }
 
-// prompt FILE PHASE MILLISECONDS requires that 99 of 100 good requests of each
-// kind in a phase were answered in less time.
-func prompt(ts *testscript.TestScript, neg bool, args []string) {
+// requireP99Below FILE PHASE MILLISECONDS requires that in a phase, 99 of 100 good requests
+// of each kind were answered in less than this time.
+func requireP99Below(ts *testscript.TestScript, neg bool, args []string) {
 	var report drill.Report
 	ts.Check(json.Unmarshal([]byte(ts.ReadFile(args[0])), &report))
 	bound, err := strconv.ParseFloat(args[2], 64)
@@ -320,7 +324,7 @@
 	for _, line := range report.Lines {
 		seen = seen || line.Phase == args[1]
 		if line.Phase == args[1] && line.P99MS >= bound {
-			ts.Fatalf("%s took %v ms in %s, and less than %v must hold", line.Kind, line.P99MS, line.Phase, bound)
+			ts.Fatalf("99th percentile of %s is %v ms in %s, want less than %v ms", line.Kind, line.P99MS, line.Phase, bound)
 		}
 	}
 	if !seen {
@@ -342,14 +346,14 @@
 	return map[string]bool{"==": found == bound, "<=": found <= bound, ">=": found >= bound}[operator]
 }
 
-// stats TARGET FILE keeps what a target did since its start.
-func stats(ts *testscript.TestScript, neg bool, args []string) {
+// saveStats TARGET FILE writes the statistics of a target since its start to a file.
+func saveStats(ts *testscript.TestScript, neg bool, args []string) {
 	body, err := json.Marshal(statsOf(ts, args[0]))
 	ts.Check(err)
 	ts.Check(os.WriteFile(ts.MkAbs(args[1]), body, 0o644))
 }
 
-func arrived(ts *testscript.TestScript, target string) int {
+func receivedCalls(ts *testscript.TestScript, target string) int {
 	return statsOf(ts, target).Arrived
 }
 
