--- a/internal/drill/script_test.go
+++ b/internal/drill/script_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
-		"dandelionfield": func() { os.Exit(shell.Main(os.Args[1:], os.Stdout, os.Stderr, shell.Seams{})) },
+		"dandelionfield": func() { os.Exit(shell.Main(os.Args[1:], os.Stdout, os.Stderr, shell.Dependencies{})) },
 		"fieldlab":       func() { os.Exit(Main()) },
 	})
 }
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -67,7 +67,7 @@
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"dandelionfield": func() {
-			os.Exit(shell.Main(os.Args[1:], os.Stdout, os.Stderr, shell.Seams{RunNode: node.Run}))
+			os.Exit(shell.Main(os.Args[1:], os.Stdout, os.Stderr, shell.Dependencies{RunNode: node.Run}))
 		},
 		"fieldlab": func() { os.Exit(drill.Main()) },
 	})
--- a/internal/shell/live_test.go
+++ b/internal/shell/live_test.go
@@ -16,7 +16,7 @@
 	is := is.New(t)
 	var out bytes.Buffer
 	clock := &skipClock{timers: map[chan time.Time]time.Time{}, skip: redrawInterval}
-	a := &app{Seams: Seams{Clock: clock}, stdout: &out, output: outputTable}
+	a := &app{Dependencies: Dependencies{Clock: clock}, stdout: &out, output: outputTable}
 	a.client.node = statusByNode{"a": nodeStatus("a", "east", newMember("a", "east", awaitedRevision))}.serve(t)["a"]
 	is.NoErr(a.watchStatus(t.Context(), statusOptions{count: 2}, true))
 	a.client.node = "127.0.0.1:1"
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -25,13 +25,13 @@
 )
 
 type (
-	// Seams holds the dependencies of the command line, which tests replace.
-	Seams struct {
+	// Dependencies holds the dependencies of the command line, which tests replace.
+	Dependencies struct {
 		// RunNode runs a node. When the context ends, RunNode stops the node gracefully
 		// and returns once it has stopped.
 		RunNode func(ctx context.Context, node *setup.Node, log hclog.Logger) error
-		// RunSide is like RunNode, for a node beside a target of the users' platform.
-		RunSide func(ctx context.Context, node *setup.Node, log hclog.Logger) error
+		// RunPlatformNode is like RunNode, for a node beside a target of the users' platform.
+		RunPlatformNode func(ctx context.Context, node *setup.Node, log hclog.Logger) error
 		// Clock defaults to the system clock.
 		Clock clock.Clock
 		// Version defaults to the module version in the build information.
@@ -40,7 +40,7 @@
 
 	// app holds the state of one invocation of the command line.
 	app struct {
-		Seams
+		Dependencies
 		stdout io.Writer
 		stderr io.Writer
 		output outputFormat
@@ -94,13 +94,13 @@
 )
 
 // Main runs the command line with the given arguments and returns the exit code.
-func Main(args []string, stdout, stderr io.Writer, seams Seams) int {
+func Main(args []string, stdout, stderr io.Writer, seams Dependencies) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if seams.Clock == nil {
 		seams.Clock = clock.System{}
 	}
-	a := &app{Seams: seams, stdout: stdout, stderr: stderr}
+	a := &app{Dependencies: seams, stdout: stdout, stderr: stderr}
 	root := a.root()
 	root.SetArgs(args)
 	root.SetOut(stdout)
@@ -140,7 +140,7 @@
 }
 
 func (a *app) platformNodeCommand() *cobra.Command {
-	return a.newRunCommand("side", "Run the node beside a target of the users' platform", a.RunSide)
+	return a.newRunCommand("side", "Run the node beside a target of the users' platform", a.RunPlatformNode)
 }
 
 // newRunCommand returns a command that loads the settings of a node and calls run with
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -305,8 +305,8 @@
 	})
 }
 
-func testSeams() Seams {
-	return Seams{
+func testSeams() Dependencies {
+	return Dependencies{
 		Clock:   &skipClock{timers: map[chan time.Time]time.Time{}, skip: maxScriptSkip},
 		Version: "1.2.3",
 		RunNode: func(_ context.Context, node *setup.Node, log hclog.Logger) error {
@@ -327,7 +327,7 @@
 	}))
 	defer web.Close()
 	clock := &skipClock{timers: map[chan time.Time]time.Time{}, skip: watchIdleTimeout}
-	a := &app{Seams: Seams{Clock: clock}, stdout: io.Discard, stderr: io.Discard}
+	a := &app{Dependencies: Dependencies{Clock: clock}, stdout: io.Discard, stderr: io.Discard}
 	a.client.node = web.Listener.Addr().String()
 	var after int64
 	var printed int
@@ -341,7 +341,7 @@
 	page, err := os.ReadFile("../../docs/codes.md")
 	is.NoErr(err)
 	var table bytes.Buffer
-	is.Equal(Main([]string{"explain", "--all"}, &table, io.Discard, Seams{}), ExitOK)
+	is.Equal(Main([]string{"explain", "--all"}, &table, io.Discard, Dependencies{}), ExitOK)
 	is.True(strings.Contains(string(page), table.String())) // update it with `dandelionfield explain --all`
 }
 
--- a/internal/shell/wait_test.go
+++ b/internal/shell/wait_test.go
@@ -79,7 +79,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			clock := &skipClock{timers: map[chan time.Time]time.Time{}, skip: maxScriptSkip}
-			app := &app{Seams: Seams{Clock: clock}, stdout: io.Discard, stderr: io.Discard}
+			app := &app{Dependencies: Dependencies{Clock: clock}, stdout: io.Discard, stderr: io.Discard}
 			app.client.node = test.nodes.serve(t)["a"]
 			err := app.waitInForce(t.Context(), awaitedRevision, time.Second)
 			if test.want == "" {
