--- a/internal/drill/account.go
+++ b/internal/drill/account.go
@@ -60,8 +60,8 @@
 		Attempts []Attempt     `json:"tries"`
 	}
 
-	// Line holds the counts of one kind in one phase.
-	Line struct {
+	// PhaseCount holds the counts of one kind in one phase.
+	PhaseCount struct {
 		Phase   string  `json:"phase"`
 		Kind    string  `json:"kind"`
 		Offered int     `json:"offered"`
@@ -109,12 +109,12 @@
 
 	// Report holds the results of a load run.
 	Report struct {
-		Windows    []Window       `json:"spells"`
-		Lines      []Line         `json:"lines"`
-		TimeSlices []TimeSlice    `json:"moments"`
-		Offered    int            `json:"offered"`
-		Good       int            `json:"good"`
-		Refusals   map[string]int `json:"refusals"`
+		Windows     []Window       `json:"spells"`
+		PhaseCounts []PhaseCount   `json:"lines"`
+		TimeSlices  []TimeSlice    `json:"moments"`
+		Offered     int            `json:"offered"`
+		Good        int            `json:"good"`
+		Refusals    map[string]int `json:"refusals"`
 		// AttemptsPerRequest is the mean number of caller attempts per request.
 		AttemptsPerRequest float64 `json:"tries_per_request"`
 		// CallsPerRequest is the mean number of calls per request that reached targets.
@@ -166,7 +166,7 @@
 			report.addAttempt(attempt)
 		}
 	}
-	report.Lines = countPhases(config.Phases, outcomes)
+	report.PhaseCounts = countPhases(config.Phases, outcomes)
 	report.addExecutions(mesh, outcomes, done)
 	if report.Offered > 0 {
 		report.AttemptsPerRequest = float64(attempts) / float64(report.Offered)
@@ -254,15 +254,15 @@
 }
 
 // countPhases counts each kind in each phase, sorted by phase and then by kind.
-func countPhases(phases []Phase, outcomes []Outcome) []Line {
+func countPhases(phases []Phase, outcomes []Outcome) []PhaseCount {
 	type cell struct{ phase, kind string }
-	found := map[cell]*Line{}
+	found := map[cell]*PhaseCount{}
 	latency := map[cell]*hdrhistogram.Histogram{}
 	for _, outcome := range outcomes {
 		at := cell{outcome.Phase, outcome.Kind}
 		line := found[at]
 		if line == nil {
-			line = &Line{Phase: outcome.Phase, Kind: outcome.Kind}
+			line = &PhaseCount{Phase: outcome.Phase, Kind: outcome.Kind}
 			found[at] = line
 			latency[at] = hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
 		}
@@ -272,7 +272,7 @@
 			_ = latency[at].RecordValue(outcome.Took.Microseconds())
 		}
 	}
-	list := make([]Line, 0, len(found))
+	list := make([]PhaseCount, 0, len(found))
 	for at, line := range found {
 		index := slices.IndexFunc(phases, func(p Phase) bool { return p.Name == line.Phase })
 		if index >= 0 {
@@ -283,10 +283,10 @@
 		line.P99MS = milliseconds(latency[at].ValueAtQuantile(99))
 		list = append(list, *line)
 	}
-	phaseIndex := func(l Line) int {
+	phaseIndex := func(l PhaseCount) int {
 		return slices.IndexFunc(phases, func(p Phase) bool { return p.Name == l.Phase })
 	}
-	slices.SortFunc(list, func(a, b Line) int {
+	slices.SortFunc(list, func(a, b PhaseCount) int {
 		if phaseIndex(a) != phaseIndex(b) {
 			return phaseIndex(a) - phaseIndex(b)
 		}
--- a/internal/drill/account_test.go
+++ b/internal/drill/account_test.go
@@ -63,7 +63,7 @@
 			s.ran(is, row)
 		}
 	case "report":
-		report.Lines, report.Windows, report.TimeSlices = nil, nil, nil
+		report.PhaseCounts, report.Windows, report.TimeSlices = nil, nil, nil
 		body, err := json.MarshalIndent(report, "", "  ")
 		is.NoErr(err)
 		text.Write(body)
@@ -75,7 +75,7 @@
 			fmt.Fprintf(&text, "%.1f s: %d offered, %d good, %d attempts\n", slice.AtS, slice.Offered, slice.Good, slice.Attempts)
 		}
 	case "lines":
-		for _, line := range report.Lines {
+		for _, line := range report.PhaseCounts {
 			fmt.Fprintf(&text, "%+v\n", line)
 		}
 	case "spells":
--- a/internal/proof/steps_test.go
+++ b/internal/proof/steps_test.go
@@ -321,7 +321,7 @@
 	bound, err := strconv.ParseFloat(args[2], 64)
 	ts.Check(err)
 	seen := false
-	for _, line := range report.Lines {
+	for _, line := range report.PhaseCounts {
 		seen = seen || line.Phase == args[1]
 		if line.Phase == args[1] && line.P99MS >= bound {
 			ts.Fatalf("99th percentile of %s is %v ms in %s, want less than %v ms", line.Kind, line.P99MS, line.Phase, bound)
@@ -335,11 +335,11 @@
 func shareOf(ts *testscript.TestScript, file, phase, kind string) float64 {
 	var report drill.Report
 	ts.Check(json.Unmarshal([]byte(ts.ReadFile(file)), &report))
-	i := slices.IndexFunc(report.Lines, func(l drill.Line) bool { return l.Phase == phase && l.Kind == kind })
+	i := slices.IndexFunc(report.PhaseCounts, func(l drill.PhaseCount) bool { return l.Phase == phase && l.Kind == kind })
 	if i < 0 {
 		ts.Fatalf("no %s in %s", kind, phase)
 	}
-	return report.Lines[i].Share
+	return report.PhaseCounts[i].Share
 }
 
 func compare(found float64, operator string, bound float64) bool {
