--- a/cmd/fieldlab/main.go
+++ b/cmd/fieldlab/main.go
@@ -5,9 +5,9 @@
 import (
 	"os"
 
-	"github.com/dandelionfield/dandelionfield/internal/drill"
+	"github.com/dandelionfield/dandelionfield/internal/bench"
 )
 
 func main() {
-	os.Exit(drill.Main())
+	os.Exit(bench.Main())
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -20,7 +20,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"github.com/dandelionfield/dandelionfield/internal/config"
-	"github.com/dandelionfield/dandelionfield/internal/place"
+	"github.com/dandelionfield/dandelionfield/internal/decode"
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
@@ -104,8 +104,8 @@
 		Current  *int64 `json:"current_revision,omitempty"`
 		// Unchanged is set when the platform did not answer and it is certain that no
 		// change was accepted.
-		Unchanged bool           `json:"unchanged,omitempty"`
-		Problems  place.Problems `json:"problems,omitempty"`
+		Unchanged bool            `json:"unchanged,omitempty"`
+		Problems  decode.Problems `json:"problems,omitempty"`
 	}
 )
 
--- a/internal/admin/resource.go
+++ b/internal/admin/resource.go
@@ -14,7 +14,7 @@
 	"github.com/kataras/iris/v12"
 
 	"github.com/dandelionfield/dandelionfield/internal/config"
-	"github.com/dandelionfield/dandelionfield/internal/place"
+	"github.com/dandelionfield/dandelionfield/internal/decode"
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
@@ -243,7 +243,7 @@
 }
 
 func failInvalid(ctx iris.Context, message string, err error) {
-	var problems place.Problems
+	var problems decode.Problems
 	errors.As(err, &problems)
 	listed := truncateProblems(problems)
 	if len(listed) < len(problems) {
@@ -255,8 +255,8 @@
 // truncateProblems returns the first problems, up to maxProblemBytes, and truncates long
 // paths. A document of 4 MiB may have a problem in every line, and the whole answer would
 // not fit into a node's memory.
-func truncateProblems(problems place.Problems) place.Problems {
-	var listed place.Problems
+func truncateProblems(problems decode.Problems) decode.Problems {
+	var listed decode.Problems
 	size := 0
 	for _, problem := range problems {
 		problem.Path = truncatePath(problem.Path)
--- a/internal/drill/drill.go
+++ b/internal/bench/bench.go
@@ -1,4 +1,4 @@
-// Package drill is a test bench for a mesh on one host: stand-ins for targets and the
+// Package bench is a test bench for a mesh on one host: stand-ins for targets and the
 // platform, a naive relay as the baseline, and a load generator that checks every answer
 // and counts what the targets ran.
 //
@@ -8,7 +8,7 @@
 // A benchmark has these steps: NewTrace draws the arrivals, Load sends them and checks
 // the answers, Account compares the callers' outcomes with what the targets ran, and
 // ReadRuns reads the Report of each run for tables and Charts.
-package drill
+package bench
 
 import "strings"
 
--- a/internal/drill/picture.go
+++ b/internal/bench/picture.go
@@ -1,4 +1,4 @@
-package drill
+package bench
 
 import (
 	colour "image/color" //nolint:misspell // The library's spelling.
--- a/internal/drill/platform_test.go
+++ b/internal/bench/platform_test.go
@@ -1,4 +1,4 @@
-package drill_test
+package bench_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/joomcode/errorx"
 	"github.com/matryer/is"
 
-	"github.com/dandelionfield/dandelionfield/internal/drill"
+	"github.com/dandelionfield/dandelionfield/internal/bench"
 	"github.com/dandelionfield/dandelionfield/internal/plat"
 )
 
@@ -20,7 +20,7 @@
 	is := is.New(t)
 	ctx := context.Background()
 	memory := plat.NewMemory()
-	server := httptest.NewServer(drill.NewPlatform(memory))
+	server := httptest.NewServer(bench.NewPlatform(memory))
 	defer server.Close()
 	limits := plat.Limits{ReadsPerSecond: 1000, WritesPerSecond: 1000}
 	store := plat.NewClient(server.URL, limits)
--- a/internal/drill/process.go
+++ b/internal/bench/process.go
@@ -1,4 +1,4 @@
-package drill
+package bench
 
 import (
 	"bufio"
--- a/internal/place/place.go
+++ b/internal/decode/decode.go
@@ -1,16 +1,16 @@
-// Package place decodes YAML into plain structs and reports the position of every error:
+// Package decode decodes YAML into plain structs and reports the position of every error:
 // file, line and column. It collects all errors of a file instead of stopping at the
 // first, so that an operator can correct them in one pass.
 //
 // A mapping is described by a list of fields, each with its key and a function that
 // decodes and stores the value:
 //
-//	r := place.Reader{File: "node.yaml"}
-//	r.Object(value, []place.Field{
-//		{Key: "name", Required: true, Read: place.Text(&node.Name)},
-//		{Key: "drain_timeout", Read: place.Duration(&node.DrainTimeout, 0, time.Hour)},
+//	r := decode.Reader{File: "node.yaml"}
+//	r.Object(value, []decode.Field{
+//		{Key: "name", Required: true, Read: decode.Text(&node.Name)},
+//		{Key: "drain_timeout", Read: decode.Duration(&node.DrainTimeout, 0, time.Hour)},
 //	})
-package place
+package decode
 
 import (
 	"bytes"
--- a/internal/place/place_test.go
+++ b/internal/decode/decode_test.go
@@ -1,4 +1,4 @@
-package place
+package decode
 
 import (
 	"math"
--- a/internal/fate/bench_test.go
+++ b/internal/dedup/bench_test.go
@@ -1,4 +1,4 @@
-package fate_test
+package dedup_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/google/uuid"
 
-	"github.com/dandelionfield/dandelionfield/internal/fate"
+	"github.com/dandelionfield/dandelionfield/internal/dedup"
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
@@ -22,11 +22,11 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				book := fate.New[*relaypb.CarryResponse](fate.Settings{Retention: 90 * time.Second, MaxBytes: 1 << 40})
+				book := dedup.New[*relaypb.CarryResponse](dedup.Settings{Retention: 90 * time.Second, MaxBytes: 1 << 40})
 				now := time.Now()
 				for range held {
 					id := uuid.Must(uuid.NewV7()).String()
-					if verdict, _ := book.Begin(now, id); verdict != fate.Fresh {
+					if verdict, _ := book.Begin(now, id); verdict != dedup.Fresh {
 						b.Fatalf("verdict %d", verdict)
 					}
 					answer := &relaypb.CarryResponse{Code: 100, Status: 200, Body: make([]byte, 512), AttemptId: id}
@@ -52,12 +52,12 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				book := fate.New[*relaypb.CarryResponse](fate.Settings{Retention: 90 * time.Second, AnswerRetention: time.Second, MaxBytes: 1 << 40})
+				book := dedup.New[*relaypb.CarryResponse](dedup.Settings{Retention: 90 * time.Second, AnswerRetention: time.Second, MaxBytes: 1 << 40})
 				now := time.Now()
 				for i := range held {
 					now = now.Add(100 * time.Microsecond)
 					id := uuid.Must(uuid.NewV7()).String()
-					if verdict, _ := book.Begin(now, id); verdict != fate.Fresh {
+					if verdict, _ := book.Begin(now, id); verdict != dedup.Fresh {
 						b.Fatalf("verdict %d", verdict)
 					}
 					book.End(now, id, &relaypb.CarryResponse{}, 0)
--- a/internal/fate/fate.go
+++ b/internal/dedup/dedup.go
@@ -1,10 +1,10 @@
-// Package fate records the attempts that are addressed to one node, so that each of
+// Package dedup records the attempts that are addressed to one node, so that each of
 // them runs at most once, and determines the result code of an attempt.
 //
 // An attempt id is a UUIDv7, and its mint time bounds what has to be remembered. An id
 // that is older than the retention period never begins, so its record or tombstone may
 // be dropped after that period, however long the network delays a message.
-package fate
+package dedup
 
 import (
 	"encoding/binary"
--- a/internal/fate/fate_test.go
+++ b/internal/dedup/dedup_test.go
@@ -1,4 +1,4 @@
-package fate
+package dedup
 
 import (
 	"fmt"
--- a/internal/fate/example_test.go
+++ b/internal/dedup/example_test.go
@@ -1,19 +1,19 @@
-package fate_test
+package dedup_test
 
 import (
 	"fmt"
 	"time"
 
-	"github.com/dandelionfield/dandelionfield/internal/fate"
+	"github.com/dandelionfield/dandelionfield/internal/dedup"
 )
 
 // A sender queries an attempt that has not arrived. The attempt is rejected from then on.
 func ExampleStore_Query() {
-	book := fate.New[string](fate.Settings{Retention: time.Minute, MaxBytes: 1 << 20})
+	book := dedup.New[string](dedup.Settings{Retention: time.Minute, MaxBytes: 1 << 20})
 	now := time.UnixMilli(1_700_000_000_000)
 	attempt := "018bcfe5-6800-7c6b-904d-833943209b3c"
 	state, _ := book.Query(now, attempt)
-	fmt.Println(state == fate.NeverSeen)
+	fmt.Println(state == dedup.NeverSeen)
 	verdict, _ := book.Begin(now.Add(time.Second), attempt)
 	fmt.Println(verdict.Code())
 	// Output:
--- a/internal/entry/silent_test.go
+++ b/internal/entry/silent_test.go
@@ -21,7 +21,7 @@
 	"github.com/dandelionfield/dandelionfield/internal/budget"
 	"github.com/dandelionfield/dandelionfield/internal/call"
 	"github.com/dandelionfield/dandelionfield/internal/clock"
-	"github.com/dandelionfield/dandelionfield/internal/fate"
+	"github.com/dandelionfield/dandelionfield/internal/dedup"
 	"github.com/dandelionfield/dandelionfield/internal/link"
 	"github.com/dandelionfield/dandelionfield/internal/local"
 	"github.com/dandelionfield/dandelionfield/internal/metric"
@@ -170,7 +170,7 @@
 		Metrics:        metric.New(),
 		Log:            hclog.NewNullLogger(),
 		Gate:           admit.NewGate(admit.Settings{Slots: 10, Queue: 10, QueueWait: time.Second}),
-		AttemptRecords: fate.New[*relaypb.CarryResponse](fate.Settings{Retention: time.Minute, MaxBytes: 1 << 20}),
+		AttemptRecords: dedup.New[*relaypb.CarryResponse](dedup.Settings{Retention: time.Minute, MaxBytes: 1 << 20}),
 		Ledger:         once.NewLedger[*relaypb.CarryResponse](once.Node{}, once.Rules{}, 1<<20),
 		Kind:           func(string) *schema.Kind { return kind },
 		Limits:         schema.DefaultLimits,
--- a/internal/filter/inward.go
+++ b/internal/filter/inward.go
@@ -16,9 +16,9 @@
 	"github.com/dandelionfield/dandelionfield/internal/call"
 	"github.com/dandelionfield/dandelionfield/internal/clock"
 	"github.com/dandelionfield/dandelionfield/internal/local"
+	"github.com/dandelionfield/dandelionfield/internal/loglim"
 	"github.com/dandelionfield/dandelionfield/internal/metric"
 	"github.com/dandelionfield/dandelionfield/internal/once"
-	"github.com/dandelionfield/dandelionfield/internal/trail"
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
@@ -62,7 +62,7 @@
 	ChainAdmits func(services []string, order uint32) (string, bool)
 	// FailureLimiter limits the rate of log lines about requests that were not completed. If it
 	// is nil, none are logged.
-	FailureLimiter *trail.Limiter
+	FailureLimiter *loglim.Limiter
 	// Throttle decides whether a new request of a kind is admitted, and returns the share
 	// of such requests that is. Ended receives the result of each admitted request. If
 	// Throttle is nil, all requests are admitted.
--- a/internal/filter/serve.go
+++ b/internal/filter/serve.go
@@ -7,8 +7,8 @@
 	"net/http"
 	"strconv"
 
-	"github.com/dandelionfield/dandelionfield/internal/ahead"
 	"github.com/dandelionfield/dandelionfield/internal/call"
+	"github.com/dandelionfield/dandelionfield/internal/httpd"
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
@@ -16,8 +16,8 @@
 const retryAfterSeconds = "1"
 
 // Handler returns a handler that answers requests of callers and targets with a chain.
-func Handler(chain Next) func(ctx context.Context, request *http.Request) *ahead.Answer {
-	return func(ctx context.Context, request *http.Request) *ahead.Answer {
+func Handler(chain Next) func(ctx context.Context, request *http.Request) *httpd.Answer {
+	return func(ctx context.Context, request *http.Request) *httpd.Answer {
 		exchange := NewExchange(request)
 		answer := chain(ctx, exchange)
 		return Reply(exchange.Call.RequestID, answer)
@@ -35,7 +35,7 @@
 
 // Reply returns the HTTP answer to a request. It is the target's own answer if there is
 // one, and otherwise a short JSON body that describes the result.
-func Reply(requestID string, answer *call.Answer) *ahead.Answer {
+func Reply(requestID string, answer *call.Answer) *httpd.Answer {
 	header := make(http.Header, len(answer.Header)+4)
 	for name, values := range answer.Header {
 		header[name] = values
@@ -59,11 +59,11 @@
 			header.Set("Retry-After", retryAfterSeconds)
 		}
 	}
-	return &ahead.Answer{Status: status, Header: header, Body: body}
+	return &httpd.Answer{Status: status, Header: header, Body: body}
 }
 
 // UnreadableReply returns the answer to a request that could not be parsed.
-func UnreadableReply(status int, reason string) *ahead.Answer {
+func UnreadableReply(status int, reason string) *httpd.Answer {
 	code := result.BadRequest
 	if status == http.StatusRequestEntityTooLarge {
 		code = result.BodyTooLarge
--- a/internal/heap/heap.go
+++ b/internal/gctune/gctune.go
@@ -1,6 +1,6 @@
-// Package heap tunes the garbage collector to the load of a node: it saves memory at low
+// Package gctune tunes the garbage collector to the load of a node: it saves memory at low
 // load and processor time at high load.
-package heap
+package gctune
 
 import (
 	"context"
--- a/internal/heap/heap_test.go
+++ b/internal/gctune/gctune_test.go
@@ -1,11 +1,11 @@
-package heap_test
+package gctune_test
 
 import (
 	"testing"
 
 	"github.com/matryer/is"
 
-	"github.com/dandelionfield/dandelionfield/internal/heap"
+	"github.com/dandelionfield/dandelionfield/internal/gctune"
 )
 
 // In a surge the heap may grow, and after the surge memory is released. No steady load
@@ -14,19 +14,19 @@
 func TestBusyNodesCollectLessOften(t *testing.T) {
 	is := is.New(t)
 	collections := 100.0
-	c := heap.New(heap.GCStats{Cycles: uint64(collections)})
-	percent := heap.LowLoadPercent
+	c := gctune.New(gctune.GCStats{Cycles: uint64(collections)})
+	percent := gctune.LowLoadPercent
 	period := func(atLowLoad float64) int {
-		collections += atLowLoad * heap.LowLoadPercent / float64(percent)
-		percent = c.Next(heap.GCStats{Cycles: uint64(collections), Live: 8 << 20})
+		collections += atLowLoad * gctune.LowLoadPercent / float64(percent)
+		percent = c.Next(gctune.GCStats{Cycles: uint64(collections), Live: 8 << 20})
 		return percent
 	}
-	is.Equal(period(6), heap.LowLoadPercent)
-	is.Equal(period(25), heap.HighLoadPercent) // a surge
+	is.Equal(period(6), gctune.LowLoadPercent)
+	is.Equal(period(25), gctune.HighLoadPercent) // a surge
 	for range 5 {
-		is.Equal(period(25), heap.HighLoadPercent)
+		is.Equal(period(25), gctune.HighLoadPercent)
 	}
-	is.Equal(period(6), heap.LowLoadPercent) // the surge has ended
+	is.Equal(period(6), gctune.LowLoadPercent) // the surge has ended
 	for load := 1.0; load <= 40; load++ {
 		period(load)
 		changes := 0
@@ -41,10 +41,10 @@
 // A node with a large live heap has no room to let the heap grow by HighLoadPercent.
 func TestHeldMemoryBoundsTheGrowth(t *testing.T) {
 	is := is.New(t)
-	c := heap.New(heap.GCStats{})
-	is.Equal(c.Next(heap.GCStats{Cycles: 20, Live: 40 << 20}), 80)
-	is.Equal(c.Next(heap.GCStats{Cycles: 40, Live: 200 << 20}), heap.LowLoadPercent)
-	is.Equal(c.Next(heap.GCStats{Cycles: 80, Live: 4 << 20}), heap.HighLoadPercent)
+	c := gctune.New(gctune.GCStats{})
+	is.Equal(c.Next(gctune.GCStats{Cycles: 20, Live: 40 << 20}), 80)
+	is.Equal(c.Next(gctune.GCStats{Cycles: 40, Live: 200 << 20}), gctune.LowLoadPercent)
+	is.Equal(c.Next(gctune.GCStats{Cycles: 80, Live: 4 << 20}), gctune.HighLoadPercent)
 }
 
 // Guards against judging load by the number of collections alone. A node beside a busy
@@ -52,6 +52,6 @@
 // processor time, but counted as lightly loaded because there were so few.
 func TestFewCollectionsOfALargeHeapAreDear(t *testing.T) {
 	is := is.New(t)
-	c := heap.New(heap.GCStats{})
-	is.Equal(c.Next(heap.GCStats{Cycles: 9, Live: 32 << 20}), 100)
+	c := gctune.New(gctune.GCStats{})
+	is.Equal(c.Next(gctune.GCStats{Cycles: 9, Live: 32 << 20}), 100)
 }
--- a/internal/crew/crew.go
+++ b/internal/gopool/gopool.go
@@ -1,7 +1,7 @@
-// Package crew runs short functions on reused goroutines. The stack of a new goroutine is
+// Package gopool runs short functions on reused goroutines. The stack of a new goroutine is
 // grown, and thereby copied, whenever a call goes deep; a reused goroutine keeps its
 // grown stack.
-package crew
+package gopool
 
 import "sync/atomic"
 
--- a/internal/crew/crew_test.go
+++ b/internal/gopool/gopool_test.go
@@ -1,4 +1,4 @@
-package crew_test
+package gopool_test
 
 import (
 	"runtime"
@@ -8,12 +8,12 @@
 
 	"github.com/matryer/is"
 
-	"github.com/dandelionfield/dandelionfield/internal/crew"
+	"github.com/dandelionfield/dandelionfield/internal/gopool"
 )
 
 // A function never waits for another one, however many there are.
 func TestAllWorkRunsAtOnce(t *testing.T) {
-	c := crew.New(4)
+	c := gopool.New(4)
 	const count = 100
 	var begun, ended sync.WaitGroup
 	release := make(chan struct{})
@@ -38,7 +38,7 @@
 func TestIdleGoroutinesAreBounded(t *testing.T) {
 	is := is.New(t)
 	before := runtime.NumGoroutine()
-	c := crew.New(4)
+	c := gopool.New(4)
 	var done sync.WaitGroup
 	for range 200 {
 		done.Add(1)
--- a/internal/http1/client_test.go
+++ b/internal/httpc/client_test.go
@@ -1,4 +1,4 @@
-package http1_test
+package httpc_test
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"github.com/cockroachdb/datadriven"
 	"github.com/matryer/is"
 
-	"github.com/dandelionfield/dandelionfield/internal/http1"
+	"github.com/dandelionfield/dandelionfield/internal/httpc"
 )
 
 // server runs a script on each connection.
@@ -54,8 +54,8 @@
 	return s
 }
 
-func (s *server) client(t testing.TB, connections int) *http1.Client {
-	client := http1.New(s.listener.Addr().String(), connections, 5*time.Second, (&net.Dialer{}).DialContext)
+func (s *server) client(t testing.TB, connections int) *httpc.Client {
+	client := httpc.New(s.listener.Addr().String(), connections, 5*time.Second, (&net.Dialer{}).DialContext)
 	t.Cleanup(client.Close)
 	return client
 }
@@ -79,12 +79,12 @@
 
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-func get() *http1.Request {
-	return &http1.Request{Method: "GET", Target: "/", Host: "h", ID: "r"}
+func get() *httpc.Request {
+	return &httpc.Request{Method: "GET", Target: "/", Host: "h", ID: "r"}
 }
 
 // take makes one call and returns its body.
-func take(client *http1.Client, request *http1.Request) (string, error) {
+func take(client *httpc.Client, request *httpc.Request) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	call := client.Do(ctx, request)
@@ -145,7 +145,7 @@
 		got <- string(text[:n])
 		_, _ = io.WriteString(conn, ok)
 	})
-	_, err := take(s.client(t, 1), &http1.Request{Method: "POST", Target: "/a%2Fb?c", Host: "shop", Fields: http1.Fields{{Name: "x-y", Value: "z"}}, Body: []byte("rope")})
+	_, err := take(s.client(t, 1), &httpc.Request{Method: "POST", Target: "/a%2Fb?c", Host: "shop", Fields: httpc.Fields{{Name: "x-y", Value: "z"}}, Body: []byte("rope")})
 	is.NoErr(err)
 	is.Equal(<-got, "POST /a%2Fb?c HTTP/1.1\r\nHost: shop\r\nx-y: z\r\nContent-Length: 4\r\n\r\nrope")
 }
@@ -156,17 +156,17 @@
 	is := is.New(t)
 	s := serve(t, answers(ok))
 	client := s.client(t, 1)
-	for _, bad := range []*http1.Request{
+	for _, bad := range []*httpc.Request{
 		{Method: "GET /x", Target: "/", Host: "h"},
 		{Method: "GET", Target: "/ HTTP/1.1\r\nX: y", Host: "h"},
 		{Method: "GET", Target: "/", Host: "h\r\nX: y"},
-		{Method: "GET", Target: "/", Host: "h", Fields: http1.Fields{{Name: "X", Value: "y\r\n\r\nGET /"}}},
-		{Method: "GET", Target: "/", Host: "h", Fields: http1.Fields{{Name: "X: y\r\nZ", Value: "z"}}},
+		{Method: "GET", Target: "/", Host: "h", Fields: httpc.Fields{{Name: "X", Value: "y\r\n\r\nGET /"}}},
+		{Method: "GET", Target: "/", Host: "h", Fields: httpc.Fields{{Name: "X: y\r\nZ", Value: "z"}}},
 		{Method: "GET", Target: "", Host: "h"},
 	} {
 		call := client.Do(context.Background(), bad)
 		call.Close()
-		is.True(errors.Is(call.Err, http1.ErrUnsendable))
+		is.True(errors.Is(call.Err, httpc.ErrUnsendable))
 		is.True(!call.Sent)
 	}
 	is.Equal(s.opened.Load(), int32(0))
@@ -244,7 +244,7 @@
 		rest <- n
 	})
 	client := s.client(t, 4)
-	long := &http1.Request{Method: "POST", Target: "/", Host: "h", Body: make([]byte, 32<<20)}
+	long := &httpc.Request{Method: "POST", Target: "/", Host: "h", Body: make([]byte, 32<<20)}
 	body, err := take(client, long)
 	is.NoErr(err)
 	is.Equal(body, "ok")
--- a/internal/http1/http1.go
+++ b/internal/httpc/httpc.go
@@ -1,11 +1,11 @@
-// Package http1 is a client of a single HTTP/1.1 server for callers that need to know
+// Package httpc is a client of a single HTTP/1.1 server for callers that need to know
 // what became of a request.
 //
 // A request is written once and never retried. The client reports whether any byte of the
 // request may have reached the server, and never takes bytes that arrived before the
 // request was written for its response. The response is read by the goroutine that makes
 // the call, so that a call starts no goroutine of its own unless its request is large.
-package http1
+package httpc
 
 import (
 	"errors"
--- a/internal/http1/write.go
+++ b/internal/httpc/write.go
@@ -1,4 +1,4 @@
-package http1
+package httpc
 
 import (
 	"strconv"
--- a/internal/ahead/conn.go
+++ b/internal/httpd/conn.go
@@ -1,4 +1,4 @@
-package ahead
+package httpd
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"github.com/dandelionfield/dandelionfield/internal/crew"
+	"github.com/dandelionfield/dandelionfield/internal/gopool"
 )
 
 type (
@@ -111,7 +111,7 @@
 	c.server.lastArrival.Store(time.Now().UnixNano())
 	c.server.inFlight.Add(1)
 	c.server.requestsRead.Add(1)
-	crew.Go(func() {
+	gopool.Go(func() {
 		defer c.server.inFlight.Add(-1)
 		c.complete(p, c.server.Handle(c.ctx, request))
 	})
--- a/internal/ahead/ahead.go
+++ b/internal/httpd/httpd.go
@@ -1,11 +1,11 @@
-// Package ahead serves HTTP/1.1 connections with pipelining: callers may send further
+// Package httpd serves HTTP/1.1 connections with pipelining: callers may send further
 // requests before the first is answered.
 //
 // Safe requests of one connection run concurrently, and their answers are sent in the
 // order of the requests. The connection is read the whole time, so that a caller that
 // disconnects cancels its requests at once, including those still waiting. Requests are
 // parsed by net/http.
-package ahead
+package httpd
 
 import (
 	"context"
--- a/internal/ahead/ahead_test.go
+++ b/internal/httpd/httpd_test.go
@@ -1,4 +1,4 @@
-package ahead_test
+package httpd_test
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/matryer/is"
 
-	"github.com/dandelionfield/dandelionfield/internal/ahead"
+	"github.com/dandelionfield/dandelionfield/internal/httpd"
 )
 
 // answerHead is the head of an answer.
@@ -26,7 +26,7 @@
 }
 
 type testServer struct {
-	server  *ahead.Server
+	server  *httpd.Server
 	address string
 	// holds blocks the requests of a path until something is sent on its channel.
 	holds     map[string]chan struct{}
@@ -36,18 +36,18 @@
 }
 
 // startServer serves with a handler that echoes method, path and body.
-func startServer(t *testing.T, bounds ahead.Limits, held ...string) *testServer {
+func startServer(t *testing.T, bounds httpd.Limits, held ...string) *testServer {
 	t.Helper()
 	p := &testServer{holds: map[string]chan struct{}{}, started: make(chan string, 100), cancelled: make(chan string, 100)}
 	for _, path := range held {
 		p.holds[path] = make(chan struct{}, 10)
 	}
-	p.server = &ahead.Server{
+	p.server = &httpd.Server{
 		Handle: p.handle,
-		Refuse: func(status int, reason string) *ahead.Answer {
-			return &ahead.Answer{Status: status, Header: http.Header{}, Body: []byte(reason)}
+		Refuse: func(status int, reason string) *httpd.Answer {
+			return &httpd.Answer{Status: status, Header: http.Header{}, Body: []byte(reason)}
 		},
-		Limits: func() ahead.Limits { return bounds },
+		Limits: func() httpd.Limits { return bounds },
 		Log:    hclog.NewNullLogger(),
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,7 +60,7 @@
 	return p
 }
 
-func (p *testServer) handle(ctx context.Context, request *http.Request) *ahead.Answer {
+func (p *testServer) handle(ctx context.Context, request *http.Request) *httpd.Answer {
 	p.runs.Add(1)
 	p.started <- request.URL.Path
 	if hold := p.holds[request.URL.Path]; hold != nil {
@@ -72,7 +72,7 @@
 		}
 	}
 	body, _ := io.ReadAll(request.Body)
-	return &ahead.Answer{
+	return &httpd.Answer{
 		Status: http.StatusOK,
 		Header: http.Header{"X-Path": {request.URL.Path}, "Content-Length": {"999"}},
 		Body:   fmt.Appendf(nil, "%s %s %s", request.Method, request.RequestURI, body),
@@ -115,7 +115,7 @@
 	return "GET " + path + " HTTP/1.1\r\nHost: shop.example\r\n\r\n"
 }
 
-var defaultBounds = ahead.Limits{HeaderBytes: 4 << 10, BodyBytes: 1 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: 5 * time.Second}
+var defaultBounds = httpd.Limits{HeaderBytes: 4 << 10, BodyBytes: 1 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: 5 * time.Second}
 
 // Safe requests run concurrently, and their answers are sent in the order of the
 // requests.
--- a/internal/ahead/read.go
+++ b/internal/httpd/read.go
@@ -1,4 +1,4 @@
-package ahead
+package httpd
 
 import (
 	"bytes"
--- a/internal/ahead/shutdown_test.go
+++ b/internal/httpd/shutdown_test.go
@@ -1,4 +1,4 @@
-package ahead_test
+package httpd_test
 
 import (
 	"bufio"
@@ -11,13 +11,13 @@
 
 	"github.com/matryer/is"
 
-	"github.com/dandelionfield/dandelionfield/internal/ahead"
+	"github.com/dandelionfield/dandelionfield/internal/httpd"
 )
 
 // A request that has been read when the listener closes is still answered.
 func TestShutdownAnswersRequestsInFlight(t *testing.T) {
 	is := is.New(t)
-	p := startServer(t, ahead.Limits{HeaderBytes: 1 << 10, BodyBytes: 1 << 10, HeaderTimeout: time.Second, IdleTimeout: time.Second}, "/held")
+	p := startServer(t, httpd.Limits{HeaderBytes: 1 << 10, BodyBytes: 1 << 10, HeaderTimeout: time.Second, IdleTimeout: time.Second}, "/held")
 	conn, err := net.Dial("tcp", p.address)
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
@@ -49,7 +49,7 @@
 
 // A request that does not end does not delay Shutdown beyond its context.
 func TestShutdownEndsWithItsContext(t *testing.T) {
-	p := startServer(t, ahead.Limits{HeaderBytes: 1 << 10, BodyBytes: 1 << 10, HeaderTimeout: time.Second, IdleTimeout: time.Second}, "/held")
+	p := startServer(t, httpd.Limits{HeaderBytes: 1 << 10, BodyBytes: 1 << 10, HeaderTimeout: time.Second, IdleTimeout: time.Second}, "/held")
 	is := is.New(t)
 	conn, err := net.Dial("tcp", p.address)
 	is.NoErr(err)
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"github.com/dandelionfield/dandelionfield/internal/crew"
+	"github.com/dandelionfield/dandelionfield/internal/gopool"
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
@@ -166,7 +166,7 @@
 			return
 		}
 		if ctx, taken := p.begin(got.call); taken {
-			crew.Go(func() { p.carry(ctx, got.call, request) })
+			gopool.Go(func() { p.carry(ctx, got.call, request) })
 		}
 	case cancelFrame:
 		p.end(got.call)
--- a/internal/local/attempt.go
+++ b/internal/local/attempt.go
@@ -10,7 +10,7 @@
 
 	"github.com/dandelionfield/dandelionfield/internal/admit"
 	"github.com/dandelionfield/dandelionfield/internal/call"
-	"github.com/dandelionfield/dandelionfield/internal/fate"
+	"github.com/dandelionfield/dandelionfield/internal/dedup"
 	"github.com/dandelionfield/dandelionfield/internal/once"
 	"github.com/dandelionfield/dandelionfield/internal/relay"
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
@@ -285,7 +285,7 @@
 	facts := reply.Facts
 	facts.ShedStatus = s.settings.ShedStatus()
 	facts.ChildCallsRan = a.serving.ChildrenRan()
-	code = fate.Classify(facts)
+	code = dedup.Classify(facts)
 	downstream := maybeDownstream(code) && a.serving.ChildrenFailed()
 	s.mu.Lock()
 	s.release(s.settings.Gate.Done(s.settings.Clock.Now(), a.request.AttemptId, outcome(code, downstream)))
--- a/internal/local/garble_test.go
+++ b/internal/local/garble_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/matryer/is"
 
-	"github.com/dandelionfield/dandelionfield/internal/fate"
-	"github.com/dandelionfield/dandelionfield/internal/http1"
+	"github.com/dandelionfield/dandelionfield/internal/dedup"
+	"github.com/dandelionfield/dandelionfield/internal/httpc"
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
@@ -99,10 +99,10 @@
 func testWire() Wire {
 	return Wire{
 		IDHeader: idHeader,
-		Headers: func(about CallInfo) http1.Fields {
-			return http1.Fields{{Name: idHeader, Value: about.RequestID}}
+		Headers: func(about CallInfo) httpc.Fields {
+			return httpc.Fields{{Name: idHeader, Value: about.RequestID}}
 		},
-		Classify: func(requestID string, status int, header http1.Fields) Disposition {
+		Classify: func(requestID string, status int, header httpc.Fields) Disposition {
 			switch echoed := header.Get(idHeader); {
 			case echoed != "" && echoed != requestID:
 				return WrongRequest
@@ -131,7 +131,7 @@
 }
 
 func classify(reply *Reply) result.Code {
-	return fate.Classify(reply.Facts)
+	return dedup.Classify(reply.Facts)
 }
 
 // An answer is not complete if the target closes the connection anywhere in it. Otherwise
--- a/internal/local/header.go
+++ b/internal/local/header.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"github.com/dandelionfield/dandelionfield/internal/http1"
+	"github.com/dandelionfield/dandelionfield/internal/httpc"
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
@@ -59,7 +59,7 @@
 
 // packFields converts the headers of an answer to the relay protocol, without the
 // hop-by-hop ones.
-func packFields(fields http1.Fields) []*relaypb.Header {
+func packFields(fields httpc.Fields) []*relaypb.Header {
 	p := newPacker(len(fields))
 	for _, field := range fields {
 		if !hopByHop[http.CanonicalHeaderKey(field.Name)] {
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -14,13 +14,13 @@
 	"github.com/dandelionfield/dandelionfield/internal/budget"
 	"github.com/dandelionfield/dandelionfield/internal/call"
 	"github.com/dandelionfield/dandelionfield/internal/clock"
-	"github.com/dandelionfield/dandelionfield/internal/crew"
-	"github.com/dandelionfield/dandelionfield/internal/fate"
+	"github.com/dandelionfield/dandelionfield/internal/dedup"
+	"github.com/dandelionfield/dandelionfield/internal/gopool"
+	"github.com/dandelionfield/dandelionfield/internal/loglim"
 	"github.com/dandelionfield/dandelionfield/internal/metric"
 	"github.com/dandelionfield/dandelionfield/internal/once"
 	"github.com/dandelionfield/dandelionfield/internal/relay"
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
-	"github.com/dandelionfield/dandelionfield/internal/trail"
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
@@ -34,7 +34,7 @@
 	Metrics        *metric.Set
 	Log            hclog.Logger
 	Gate           *admit.Gate
-	AttemptRecords *fate.Store[*relaypb.CarryResponse]
+	AttemptRecords *dedup.Store[*relaypb.CarryResponse]
 	Ledger         *once.Ledger[*relaypb.CarryResponse]
 	// LedgerBytes is the upper bound on the memory of the ledger in bytes, whatever is
 	// declared.
@@ -61,7 +61,7 @@
 	CheckTarget func(targetID string) result.Code
 	// FailureLimiter limits the rate of log lines about attempts that were not completed. If it
 	// is nil, none are logged.
-	FailureLimiter *trail.Limiter
+	FailureLimiter *loglim.Limiter
 	// RetryRule returns the rule for the part of the shared retry budget that this node
 	// keeps for its target. It is nil if the nodes share no retry budget.
 	RetryRule func() budget.Rule
@@ -176,19 +176,19 @@
 	s.mu.Lock()
 	verdict, recorded := s.settings.AttemptRecords.Begin(now, request.AttemptId)
 	switch verdict {
-	case fate.Tombstoned, fate.Invalid, fate.Expired, fate.NeverSeen:
+	case dedup.Tombstoned, dedup.Invalid, dedup.Expired, dedup.NeverSeen:
 		s.mu.Unlock()
 		return s.Refuse(request, result.Tombstoned)
-	case fate.Full:
+	case dedup.Full:
 		s.mu.Unlock()
 		return s.Refuse(request, result.MemoryBound)
-	case fate.Done:
+	case dedup.Done:
 		s.mu.Unlock()
 		return recorded
-	case fate.Dropped:
+	case dedup.Dropped:
 		s.mu.Unlock()
 		return s.Refuse(request, result.Lost)
-	case fate.Running:
+	case dedup.Running:
 		running := s.attempts[request.AttemptId]
 		s.mu.Unlock()
 		return s.wait(ctx, running)
@@ -209,11 +209,11 @@
 	running := s.attempts[request.AttemptId]
 	s.mu.Unlock()
 	switch state {
-	case fate.NeverSeen:
+	case dedup.NeverSeen:
 		return &relaypb.FateResponse{State: relaypb.FateState_FATE_STATE_NEVER_SEEN}
-	case fate.Done:
+	case dedup.Done:
 		return &relaypb.FateResponse{State: relaypb.FateState_FATE_STATE_DONE, Answer: recorded}
-	case fate.Dropped, fate.Expired, fate.Invalid:
+	case dedup.Dropped, dedup.Expired, dedup.Invalid:
 		// The attempt may have run, but its answer is no longer stored.
 		return &relaypb.FateResponse{State: relaypb.FateState_FATE_STATE_OTHER_INCARNATION}
 	}
@@ -453,7 +453,7 @@
 	s.origins.count(request.Kind, request.CallerService)
 	s.countRequest(now, request)
 	s.running.Add(1)
-	crew.Go(a.run)
+	gopool.Go(a.run)
 	return a
 }
 
--- a/internal/local/local_test.go
+++ b/internal/local/local_test.go
@@ -20,7 +20,7 @@
 	"github.com/dandelionfield/dandelionfield/internal/admit"
 	"github.com/dandelionfield/dandelionfield/internal/call"
 	"github.com/dandelionfield/dandelionfield/internal/clock"
-	"github.com/dandelionfield/dandelionfield/internal/fate"
+	"github.com/dandelionfield/dandelionfield/internal/dedup"
 	"github.com/dandelionfield/dandelionfield/internal/metric"
 	"github.com/dandelionfield/dandelionfield/internal/once"
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
@@ -225,7 +225,7 @@
 		Metrics:        metric.New(),
 		Log:            hclog.NewNullLogger(),
 		Gate:           admit.NewGate(admit.Settings{Slots: 4, Queue: 4, QueueWait: time.Second}),
-		AttemptRecords: fate.New[*relaypb.CarryResponse](fate.Settings{Retention: time.Minute, MaxBytes: 1 << 20}),
+		AttemptRecords: dedup.New[*relaypb.CarryResponse](dedup.Settings{Retention: time.Minute, MaxBytes: 1 << 20}),
 		Ledger:         once.NewLedger[*relaypb.CarryResponse](once.Node{}, once.Rules{}, 1<<20),
 		Kind:           func(string) *schema.Kind { return kind },
 		Limits:         func() schema.Limits { return limits },
--- a/internal/local/target.go
+++ b/internal/local/target.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/dandelionfield/dandelionfield/internal/dedup"
 	"github.com/dandelionfield/dandelionfield/internal/dial"
-	"github.com/dandelionfield/dandelionfield/internal/fate"
-	"github.com/dandelionfield/dandelionfield/internal/http1"
+	"github.com/dandelionfield/dandelionfield/internal/httpc"
 	"github.com/dandelionfield/dandelionfield/internal/relay"
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
@@ -22,7 +22,7 @@
 	Target struct {
 		address     string
 		connections int
-		client      atomic.Pointer[http1.Client]
+		client      atomic.Pointer[httpc.Client]
 		held        *HeldMemory
 		// Wire must be set before the first call.
 		Wire Wire
@@ -38,10 +38,10 @@
 		// Headers returns the headers that describe a call to the target. They replace the
 		// caller's headers of the same names. If it is nil, ContextHeader and
 		// TimeLeftHeader are set.
-		Headers func(about CallInfo) http1.Fields
+		Headers func(about CallInfo) httpc.Fields
 		// Classify classifies the head of an answer. If it is nil, the answer is classified
 		// by its status.
-		Classify func(requestID string, status int, header http1.Fields) Disposition
+		Classify func(requestID string, status int, header httpc.Fields) Disposition
 	}
 
 	// CallInfo describes a call to a target.
@@ -79,7 +79,7 @@
 
 // Reply is the result of a call to the target.
 type Reply struct {
-	Facts   fate.Facts
+	Facts   dedup.Facts
 	Status  int
 	Headers []*relaypb.Header
 	Body    []byte
@@ -131,7 +131,7 @@
 
 // replaceClient replaces the HTTP client and closes the idle connections of the old one.
 func (t *Target) replaceClient() {
-	former := t.client.Swap(http1.New(t.address, t.connections, targetIdleTimeout, dial.Dialer(targetDialTimeout).DialContext))
+	former := t.client.Swap(httpc.New(t.address, t.connections, targetIdleTimeout, dial.Dialer(targetDialTimeout).DialContext))
 	if former != nil {
 		former.Close()
 	}
@@ -211,7 +211,7 @@
 }
 
 // classifyHead records in the facts what the head of an answer says about the call.
-func (t *Target) classifyHead(attempt *relaypb.CarryRequest, call *http1.Call, facts *fate.Facts) {
+func (t *Target) classifyHead(attempt *relaypb.CarryRequest, call *httpc.Call, facts *dedup.Facts) {
 	facts.MarksNotRun = true
 	switch t.Wire.Classify(attempt.RequestId, call.Response.Status, call.Response.Fields) {
 	case NotRun:
@@ -227,7 +227,7 @@
 }
 
 // namesRequest reports whether an answer carries the id of the request.
-func (w Wire) namesRequest(requestID string, header http1.Fields) bool {
+func (w Wire) namesRequest(requestID string, header httpc.Fields) bool {
 	return w.IDHeader != "" && header.Get(w.IDHeader) == requestID
 }
 
@@ -279,8 +279,8 @@
 
 // buildRequest returns the HTTP request for an attempt. The headers of the node replace
 // those of the caller with the same names.
-func (t *Target) buildRequest(ctx context.Context, handle string, attempt *relaypb.CarryRequest) *http1.Request {
-	request := &http1.Request{
+func (t *Target) buildRequest(ctx context.Context, handle string, attempt *relaypb.CarryRequest) *httpc.Request {
+	request := &httpc.Request{
 		Method: attempt.Method,
 		Target: attempt.Path,
 		Host:   attempt.Host,
@@ -291,10 +291,10 @@
 		request.Host = t.address
 	}
 	nodeHeaders := t.nodeHeaders(ctx, handle, attempt)
-	request.Fields = make(http1.Fields, 0, len(attempt.Headers)+len(nodeHeaders))
+	request.Fields = make(httpc.Fields, 0, len(attempt.Headers)+len(nodeHeaders))
 	for _, header := range attempt.Headers {
 		if !nodeHeaders.Has(header.Name) && header.Name != t.Wire.HiddenHeader {
-			request.Fields = append(request.Fields, http1.Field{Name: header.Name, Value: header.Value})
+			request.Fields = append(request.Fields, httpc.Field{Name: header.Name, Value: header.Value})
 		}
 	}
 	request.Fields = append(request.Fields, nodeHeaders...)
@@ -302,13 +302,13 @@
 }
 
 // nodeHeaders returns the headers by which the node describes a call to its target.
-func (t *Target) nodeHeaders(ctx context.Context, handle string, attempt *relaypb.CarryRequest) http1.Fields {
+func (t *Target) nodeHeaders(ctx context.Context, handle string, attempt *relaypb.CarryRequest) httpc.Fields {
 	left := time.Duration(0)
 	if deadline, ok := ctx.Deadline(); ok {
 		left = time.Until(deadline)
 	}
 	if t.Wire.Headers == nil {
-		return http1.Fields{
+		return httpc.Fields{
 			{Name: ContextHeader, Value: handle},
 			{Name: TimeLeftHeader, Value: strconv.FormatInt(left.Milliseconds(), 10)},
 		}
--- a/internal/local/target_test.go
+++ b/internal/local/target_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/dandelionfield/dandelionfield/internal/http1"
+	"github.com/dandelionfield/dandelionfield/internal/httpc"
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
@@ -58,13 +58,13 @@
 	target := NewTarget("127.0.0.1:1", 1, NewHeldMemory(func() int64 { return 1 << 20 }))
 	target.Wire = Wire{
 		HiddenHeader: "Dandelion-Deadline",
-		Headers:      func(about CallInfo) http1.Fields { return http1.Fields{{Name: "Target", Value: about.TargetID}} },
+		Headers:      func(about CallInfo) httpc.Fields { return httpc.Fields{{Name: "Target", Value: about.TargetID}} },
 	}
 	request := target.buildRequest(context.Background(), "", &relaypb.CarryRequest{
 		Method: "GET", Path: "/a?b=c", Incarnation: "node/i-1",
 		Headers: []*relaypb.Header{{Name: "target", Value: "forged"}, {Name: "Dandelion-Deadline", Value: "1s"}, {Name: "X", Value: "kept"}},
 	})
-	is.Equal(request.Fields, http1.Fields{{Name: "X", Value: "kept"}, {Name: "Target", Value: "i-1"}})
+	is.Equal(request.Fields, httpc.Fields{{Name: "X", Value: "kept"}, {Name: "Target", Value: "i-1"}})
 	is.Equal(request.Target, "/a?b=c")
 	is.Equal(request.Host, "127.0.0.1:1")
 }
--- a/internal/local/watch.go
+++ b/internal/local/watch.go
@@ -7,7 +7,7 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"github.com/dandelionfield/dandelionfield/internal/fate"
+	"github.com/dandelionfield/dandelionfield/internal/dedup"
 	"github.com/dandelionfield/dandelionfield/internal/metric"
 )
 
@@ -55,7 +55,7 @@
 }
 
 // check logs each start and end of a shortage. It is called once a second.
-func (w *selfMonitor) check(book fate.Stats, maxBytes int64) {
+func (w *selfMonitor) check(book dedup.Stats, maxBytes int64) {
 	w.metrics.AttemptRecordsUsed.Set(float64(book.Bytes) / float64(max(maxBytes, 1)))
 	refused := book.Refused - w.refused
 	w.refused = book.Refused
--- a/internal/local/watch_test.go
+++ b/internal/local/watch_test.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/matryer/is"
 
-	"github.com/dandelionfield/dandelionfield/internal/fate"
+	"github.com/dandelionfield/dandelionfield/internal/dedup"
 	"github.com/dandelionfield/dandelionfield/internal/metric"
 )
 
@@ -20,16 +20,16 @@
 	w := &selfMonitor{metrics: metric.New(), log: hclog.New(&hclog.LoggerOptions{Output: &out})}
 	lines := func() int { return strings.Count(out.String(), "\n") }
 	w.observeTimer(time.Millisecond)
-	w.check(fate.Stats{}, 100)
+	w.check(dedup.Stats{}, 100)
 	is.Equal(lines(), 0)
 	for second := range 3 {
 		w.observeTimer(200 * time.Millisecond)
-		w.check(fate.Stats{Refused: int64(second + 1), Bytes: 100}, 100)
+		w.check(dedup.Stats{Refused: int64(second + 1), Bytes: 100}, 100)
 	}
 	is.Equal(lines(), 2)
 	is.True(strings.Contains(out.String(), "attempt_records_full: full=true refused=1"))
 	is.True(strings.Contains(out.String(), "node_behind: behind=true late_ms=200"))
-	w.check(fate.Stats{Refused: 3}, 100)
+	w.check(dedup.Stats{Refused: 3}, 100)
 	is.Equal(lines(), 4)
 	is.True(strings.Contains(out.String(), "attempt_records_full: full=false"))
 	is.True(strings.Contains(out.String(), "node_behind: behind=false"))
--- a/internal/trail/trail.go
+++ b/internal/loglim/loglim.go
@@ -1,6 +1,6 @@
-// Package trail bounds logging: the lines of one class that are written in a period, and
+// Package loglim bounds logging: the lines of one class that are written in a period, and
 // the wait for a slow reader of the log.
-package trail
+package loglim
 
 import (
 	"io"
--- a/internal/trail/trail_test.go
+++ b/internal/loglim/loglim_test.go
@@ -1,4 +1,4 @@
-package trail_test
+package loglim_test
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/dandelionfield/dandelionfield/internal/trail"
+	"github.com/dandelionfield/dandelionfield/internal/loglim"
 )
 
 // blockedOutput is an output whose reader has stopped until it is released.
@@ -29,7 +29,7 @@
 
 func TestLinesOfOneClassAreBounded(t *testing.T) {
 	is := is.New(t)
-	limiter := trail.NewLimiter(20, time.Second)
+	limiter := loglim.NewLimiter(20, time.Second)
 	now := time.Unix(1_800_000_000, 0)
 	out := 0
 	for i := range 10_000 {
@@ -49,7 +49,7 @@
 func TestStoppedReaderCostsLinesOnly(t *testing.T) {
 	is := is.New(t)
 	out := &blockedOutput{release: make(chan struct{})}
-	writer := trail.NewWriter(out)
+	writer := loglim.NewWriter(out)
 	written := make(chan struct{})
 	const lines = 50_000
 	go func() {
@@ -70,7 +70,7 @@
 func TestDroppedLinesAreSaidWithTheNextOne(t *testing.T) {
 	is := is.New(t)
 	out := &blockedOutput{release: make(chan struct{})}
-	writer := trail.NewWriter(out)
+	writer := loglim.NewWriter(out)
 	for range 5_000 {
 		_, _ = writer.Write([]byte("line\n"))
 	}
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -18,9 +18,9 @@
 	"github.com/matryer/is"
 	"google.golang.org/protobuf/proto"
 
+	"github.com/dandelionfield/dandelionfield/internal/bench"
 	"github.com/dandelionfield/dandelionfield/internal/clock"
 	"github.com/dandelionfield/dandelionfield/internal/config"
-	"github.com/dandelionfield/dandelionfield/internal/drill"
 	"github.com/dandelionfield/dandelionfield/internal/member"
 	"github.com/dandelionfield/dandelionfield/internal/plat"
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
@@ -237,7 +237,7 @@
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
 			memory := plat.NewMemory()
 			writeLeases(b, memory, n)
-			server, bytes := startServer(b, drill.NewPlatform(memory))
+			server, bytes := startServer(b, bench.NewPlatform(memory))
 			store := plat.NewClient(server.URL, plat.Limits{ReadsPerSecond: 1e6, ReadBurst: 1e6})
 			before, used := bytes.Load(), processorTime()
 			for b.Loop() {
@@ -294,7 +294,7 @@
 // than listings: a renewal of its lease, and a poll of the head row of the configuration.
 func BenchmarkStore(b *testing.B) {
 	memory := plat.NewMemory()
-	server, bytes := startServer(b, drill.NewPlatform(memory))
+	server, bytes := startServer(b, bench.NewPlatform(memory))
 	store := plat.NewClient(server.URL, plat.Limits{ReadsPerSecond: 1e6, ReadBurst: 1e6, WritesPerSecond: 1e6, WriteBurst: 1e6})
 	ctx := context.Background()
 	node := member.New(sampleRow(1), store, clock.System{}, hclog.NewNullLogger())
--- a/internal/node/book_test.go
+++ b/internal/node/book_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 
 	"github.com/dandelionfield/dandelionfield/internal/clock"
-	"github.com/dandelionfield/dandelionfield/internal/fate"
+	"github.com/dandelionfield/dandelionfield/internal/dedup"
 	"github.com/dandelionfield/dandelionfield/internal/plat"
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 	"github.com/dandelionfield/dandelionfield/internal/setup"
@@ -26,14 +26,14 @@
 		Control: silentControl,
 	})
 	settings := n.attemptRecordSettings(n.settings.MemoryBytes / recordMemoryDivisor)
-	book := fate.New[*relaypb.CarryResponse](settings)
+	book := dedup.New[*relaypb.CarryResponse](settings)
 	start := time.Now()
 	for second := range 90 {
 		now := start.Add(time.Duration(second) * time.Second)
 		for range 1000 {
 			id := attemptIDMintedAt(now)
 			verdict, _ := book.Begin(now, id)
-			if verdict != fate.Fresh {
+			if verdict != dedup.Fresh {
 				t.Fatalf("verdict %v in second %d", verdict, second)
 			}
 			book.End(now, id, &relaypb.CarryResponse{}, 400)
@@ -55,13 +55,13 @@
 		Store:   &store,
 		Control: silentControl,
 	})
-	book := fate.New[*relaypb.CarryResponse](n.attemptRecordSettings(n.settings.MemoryBytes / recordMemoryDivisor))
+	book := dedup.New[*relaypb.CarryResponse](n.attemptRecordSettings(n.settings.MemoryBytes / recordMemoryDivisor))
 	start := time.Now()
 	for second := range 60 {
 		now := start.Add(time.Duration(second) * time.Second)
 		for range perSecond {
 			id := attemptIDMintedAt(now)
-			if verdict, _ := book.Begin(now, id); verdict != fate.Fresh {
+			if verdict, _ := book.Begin(now, id); verdict != dedup.Fresh {
 				t.Fatalf("verdict %v in second %d", verdict, second)
 			}
 			book.End(now, id, &relaypb.CarryResponse{}, 400)
--- a/internal/node/doors.go
+++ b/internal/node/doors.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"github.com/dandelionfield/dandelionfield/internal/admit"
-	"github.com/dandelionfield/dandelionfield/internal/ahead"
 	"github.com/dandelionfield/dandelionfield/internal/beat"
 	"github.com/dandelionfield/dandelionfield/internal/config"
 	"github.com/dandelionfield/dandelionfield/internal/filter"
+	"github.com/dandelionfield/dandelionfield/internal/httpd"
 	"github.com/dandelionfield/dandelionfield/internal/local"
 	"github.com/dandelionfield/dandelionfield/internal/plat"
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
@@ -28,9 +28,9 @@
 		Parse  func(document []byte) (*schema.Set, error)
 		// CallerHandler returns the handler that answers requests of callers and targets
 		// through the filter chain.
-		CallerHandler func(chain filter.Next) func(ctx context.Context, request *http.Request) *ahead.Answer
+		CallerHandler func(chain filter.Next) func(ctx context.Context, request *http.Request) *httpd.Answer
 		// RefuseUnreadable answers a request that could not be read.
-		RefuseUnreadable func(status int, reason string) *ahead.Answer
+		RefuseUnreadable func(status int, reason string) *httpd.Answer
 		// TargetWire is the protocol that is spoken with the target.
 		TargetWire local.Wire
 		// Control returns the handler for the heartbeats of a target that announces
@@ -61,15 +61,15 @@
 }
 
 // callerServer returns the server for requests of callers and calls of the target.
-func (n *Node) callerServer() *ahead.Server {
+func (n *Node) callerServer() *httpd.Server {
 	chain := filter.Chain(n.inboundFilters().Filters(), n.dispatch)
-	return &ahead.Server{
+	return &httpd.Server{
 		Handle: n.adapters.CallerHandler(chain),
 		Refuse: n.adapters.RefuseUnreadable,
 		Log:    n.log.Named("ahead"),
-		Limits: func() ahead.Limits {
+		Limits: func() httpd.Limits {
 			limits := n.limits()
-			return ahead.Limits{
+			return httpd.Limits{
 				HeaderBytes:   limits.MaxHeaderBytes,
 				BodyBytes:     limits.MaxRequestBytes,
 				HeaderTimeout: limits.HeaderTimeout,
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/uuid"
 	"github.com/matryer/is"
 
-	"github.com/dandelionfield/dandelionfield/internal/fate"
+	"github.com/dandelionfield/dandelionfield/internal/dedup"
 	"github.com/dandelionfield/dandelionfield/internal/once"
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 	"github.com/dandelionfield/dandelionfield/internal/setup"
@@ -27,7 +27,7 @@
 
 // attemptAndKeyRecords holds the records of attempts and of idempotency keys of one node.
 type attemptAndKeyRecords struct {
-	book   *fate.Store[*relaypb.CarryResponse]
+	book   *dedup.Store[*relaypb.CarryResponse]
 	ledger *once.Ledger[*relaypb.CarryResponse]
 	now    time.Time
 }
@@ -39,7 +39,7 @@
 	ledger := once.NewLedger[*relaypb.CarryResponse](self, rules, memoryBytes/recordMemoryDivisor)
 	plan, _ := once.Next(now.Add(-10*time.Minute), once.Plan{}, self, nil, rules)
 	ledger.ApplyPlan(plan)
-	book := fate.New[*relaypb.CarryResponse](fate.Settings{Retention: attemptRetention, MaxBytes: memoryBytes / recordMemoryDivisor, Margin: schema.MaxClockMargin})
+	book := dedup.New[*relaypb.CarryResponse](dedup.Settings{Retention: attemptRetention, MaxBytes: memoryBytes / recordMemoryDivisor, Margin: schema.MaxClockMargin})
 	return &attemptAndKeyRecords{book: book, ledger: ledger, now: now}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,20 +14,20 @@
 	"github.com/google/uuid"
 	"github.com/hashicorp/go-hclog"
 
-	"github.com/dandelionfield/dandelionfield/internal/ahead"
 	"github.com/dandelionfield/dandelionfield/internal/clock"
 	"github.com/dandelionfield/dandelionfield/internal/config"
 	"github.com/dandelionfield/dandelionfield/internal/entry"
 	"github.com/dandelionfield/dandelionfield/internal/filter"
-	"github.com/dandelionfield/dandelionfield/internal/heap"
+	"github.com/dandelionfield/dandelionfield/internal/gctune"
+	"github.com/dandelionfield/dandelionfield/internal/httpd"
 	"github.com/dandelionfield/dandelionfield/internal/link"
 	"github.com/dandelionfield/dandelionfield/internal/local"
+	"github.com/dandelionfield/dandelionfield/internal/loglim"
 	"github.com/dandelionfield/dandelionfield/internal/member"
 	"github.com/dandelionfield/dandelionfield/internal/metric"
 	"github.com/dandelionfield/dandelionfield/internal/plat"
 	"github.com/dandelionfield/dandelionfield/internal/relay"
 	"github.com/dandelionfield/dandelionfield/internal/setup"
-	"github.com/dandelionfield/dandelionfield/internal/trail"
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
@@ -58,7 +58,7 @@
 	targetsMu sync.Mutex
 
 	targetPresence targetPresence
-	callers        *ahead.Server
+	callers        *httpd.Server
 	// active is set once the node has announced that it is active, and stays set.
 	active  atomic.Bool
 	leaving atomic.Bool
@@ -98,7 +98,7 @@
 
 // RunWith is Run with the given implementations in place of the project's own.
 func RunWith(ctx context.Context, settings *setup.Node, log hclog.Logger, adapters Adapters) error {
-	heap.SetInitialPercent()
+	gctune.SetInitialPercent()
 	bound, err := listen(settings)
 	if err != nil {
 		return err
@@ -122,7 +122,7 @@
 	}
 	n.drainTimeout.Store(int64(settings.DrainTimeout))
 	n.client.LocalIP = net.ParseIP(settings.RelayFrom)
-	n.client.OnSilent(n.linkSilent(trail.NewLimiter(failureLinesPerSecond, time.Second)))
+	n.client.OnSilent(n.linkSilent(loglim.NewLimiter(failureLinesPerSecond, time.Second)))
 	n.platform.answered = n.started
 	store := plat.NewClient(settings.PlatformAddress, plat.Limits{})
 	if adapters.Store != nil {
@@ -141,7 +141,7 @@
 
 // linkSilent returns a callback that logs, at a limited rate, which nodes do not answer
 // while calls wait for them.
-func (n *Node) linkSilent(limiter *trail.Limiter) func(address string) {
+func (n *Node) linkSilent(limiter *loglim.Limiter) func(address string) {
 	return func(address string) {
 		if suppressed, ok := limiter.Allow(n.clock.Now(), ""); ok {
 			n.log.Warn("link_silent", "address", address, "left_out", suppressed)
@@ -158,7 +158,7 @@
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	servers := n.serve(bound)
-	go heap.Run(work, n.clock, n.log.Named("heap"))
+	go gctune.Run(work, n.clock, n.log.Named("heap"))
 	go n.local.Run(work)
 	go n.members.Run(work)
 	go n.start(work)
@@ -225,7 +225,7 @@
 
 // servers groups the running servers of a node.
 type servers struct {
-	callers *ahead.Server
+	callers *httpd.Server
 	links   *link.Server
 	all     []*http.Server
 	failed  chan error
@@ -241,7 +241,7 @@
 		failed:  make(chan error, serverCount),
 	}
 	go func() {
-		if err := n.callers.Serve(bound.caller); !errors.Is(err, ahead.ErrClosed) {
+		if err := n.callers.Serve(bound.caller); !errors.Is(err, httpd.ErrClosed) {
 			s.failed <- err
 		}
 	}()
--- a/internal/node/parts.go
+++ b/internal/node/parts.go
@@ -10,15 +10,15 @@
 	"github.com/dandelionfield/dandelionfield/internal/budget"
 	"github.com/dandelionfield/dandelionfield/internal/call"
 	"github.com/dandelionfield/dandelionfield/internal/config"
+	"github.com/dandelionfield/dandelionfield/internal/dedup"
 	"github.com/dandelionfield/dandelionfield/internal/entry"
-	"github.com/dandelionfield/dandelionfield/internal/fate"
 	"github.com/dandelionfield/dandelionfield/internal/filter"
 	"github.com/dandelionfield/dandelionfield/internal/local"
+	"github.com/dandelionfield/dandelionfield/internal/loglim"
 	"github.com/dandelionfield/dandelionfield/internal/member"
 	"github.com/dandelionfield/dandelionfield/internal/once"
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 	"github.com/dandelionfield/dandelionfield/internal/route"
-	"github.com/dandelionfield/dandelionfield/internal/trail"
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
@@ -167,12 +167,12 @@
 		CheckTarget:    admits,
 		RetryRule:      retryBudgetRule,
 		Pressed:        pressed,
-		FailureLimiter: trail.NewLimiter(failureLinesPerSecond, time.Second),
+		FailureLimiter: loglim.NewLimiter(failureLinesPerSecond, time.Second),
 		Clock:          n.clock,
 		Metrics:        n.metrics,
 		Log:            n.log.Named("local"),
 		Gate:           admit.NewGate(n.gateSettings(service)),
-		AttemptRecords: fate.New[*relaypb.CarryResponse](n.attemptRecordSettings(recordBytes)),
+		AttemptRecords: dedup.New[*relaypb.CarryResponse](n.attemptRecordSettings(recordBytes)),
 		Ledger:         once.NewLedger[*relaypb.CarryResponse](n.owner(), ownerRules(schema.DefaultLimits()), recordBytes),
 		LedgerBytes:    recordBytes,
 		Kind:           n.kind,
@@ -191,8 +191,8 @@
 // attemptRecordSettings returns how long attempts are recorded. Where targets announce
 // themselves, no caller sends the same request again, so only the node that sent an
 // attempt asks for its outcome, within seconds of losing the connection.
-func (n *Node) attemptRecordSettings(bytes int64) fate.Settings {
-	settings := fate.Settings{Retention: attemptRetention, MaxBytes: bytes, Margin: schema.MaxClockMargin}
+func (n *Node) attemptRecordSettings(bytes int64) dedup.Settings {
+	settings := dedup.Settings{Retention: attemptRetention, MaxBytes: bytes, Margin: schema.MaxClockMargin}
 	if n.targetsAnnounce() {
 		settings.Retention = announcedAttemptRetention
 		settings.AnswerRetention = answerRetention
@@ -203,7 +203,7 @@
 func (n *Node) inboundFilters() *filter.Inbound {
 	host, _, _ := net.SplitHostPort(n.settings.TargetAddress)
 	inboundFilters := &filter.Inbound{
-		FailureLimiter: trail.NewLimiter(failureLinesPerSecond, time.Second),
+		FailureLimiter: loglim.NewLimiter(failureLinesPerSecond, time.Second),
 		Clock:          n.clock,
 		Metrics:        n.metrics,
 		Log:            n.log.Named("filter"),
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -20,7 +20,7 @@
 
 	"github.com/rogpeppe/go-internal/testscript"
 
-	"github.com/dandelionfield/dandelionfield/internal/drill"
+	"github.com/dandelionfield/dandelionfield/internal/bench"
 	"github.com/dandelionfield/dandelionfield/internal/node"
 	"github.com/dandelionfield/dandelionfield/internal/shell"
 )
@@ -69,7 +69,7 @@
 		"dandelionfield": func() {
 			os.Exit(shell.Main(os.Args[1:], os.Stdout, os.Stderr, shell.Dependencies{RunNode: node.Run}))
 		},
-		"fieldlab": func() { os.Exit(drill.Main()) },
+		"fieldlab": func() { os.Exit(bench.Main()) },
 	})
 }
 
--- a/internal/proof/steps_test.go
+++ b/internal/proof/steps_test.go
@@ -18,8 +18,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 
 	"github.com/dandelionfield/dandelionfield/internal/admin"
+	"github.com/dandelionfield/dandelionfield/internal/bench"
 	"github.com/dandelionfield/dandelionfield/internal/config"
-	"github.com/dandelionfield/dandelionfield/internal/drill"
 	"github.com/dandelionfield/dandelionfield/internal/once"
 	"github.com/dandelionfield/dandelionfield/internal/plat"
 	"github.com/dandelionfield/dandelionfield/internal/shell"
@@ -316,7 +316,7 @@
 // requireP99Below FILE PHASE MILLISECONDS requires that in a phase, 99 of 100 good requests
 // of each kind were answered in less than this time.
 func requireP99Below(ts *testscript.TestScript, neg bool, args []string) {
-	var report drill.Report
+	var report bench.Report
 	ts.Check(json.Unmarshal([]byte(ts.ReadFile(args[0])), &report))
 	bound, err := strconv.ParseFloat(args[2], 64)
 	ts.Check(err)
@@ -333,9 +333,9 @@
 }
 
 func shareOf(ts *testscript.TestScript, file, phase, kind string) float64 {
-	var report drill.Report
+	var report bench.Report
 	ts.Check(json.Unmarshal([]byte(ts.ReadFile(file)), &report))
-	i := slices.IndexFunc(report.PhaseCounts, func(l drill.PhaseCount) bool { return l.Phase == phase && l.Kind == kind })
+	i := slices.IndexFunc(report.PhaseCounts, func(l bench.PhaseCount) bool { return l.Phase == phase && l.Kind == kind })
 	if i < 0 {
 		ts.Fatalf("no %s in %s", kind, phase)
 	}
@@ -357,13 +357,13 @@
 	return statsOf(ts, target).Arrived
 }
 
-func statsOf(ts *testscript.TestScript, target string) drill.Stats {
+func statsOf(ts *testscript.TestScript, target string) bench.Stats {
 	m := ts.Value(meshKey{}).(*mesh)
 	address := setting(ts, filepath.Join(m.dir, "target-"+target+".yaml"), "control_listen")
 	response, err := http.Get("http://" + address + "/-/stats")
 	ts.Check(err)
 	defer response.Body.Close()
-	var stats drill.Stats
+	var stats bench.Stats
 	ts.Check(json.NewDecoder(response.Body).Decode(&stats))
 	return stats
 }
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -7,7 +7,7 @@
 	"regexp"
 	"time"
 
-	"github.com/dandelionfield/dandelionfield/internal/place"
+	"github.com/dandelionfield/dandelionfield/internal/decode"
 )
 
 // Node holds the settings of one node process. Addresses are IP:port.
@@ -88,7 +88,7 @@
 )
 
 // Load reads the settings from a file. Unless the file cannot be read, the error is a
-// place.Problems that lists all problems with their lines and columns.
+// decode.Problems that lists all problems with their lines and columns.
 func Load(file string) (*Node, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -99,10 +99,10 @@
 
 // Parse reads the settings from the content of a file.
 func Parse(file string, data []byte) (*Node, error) {
-	reader := &place.Reader{File: file}
+	reader := &decode.Reader{File: file}
 	documents := reader.Documents(data)
 	if len(reader.Problems) == 0 && len(documents) != 1 {
-		reader.Problems = append(reader.Problems, place.Problem{File: file, Expected: "one YAML document"})
+		reader.Problems = append(reader.Problems, decode.Problem{File: file, Expected: "one YAML document"})
 	}
 	if err := reader.Problems.Err(); err != nil {
 		return nil, err
@@ -124,35 +124,35 @@
 }
 
 // fields describes the keys of the file.
-func (n *Node) fields() []place.Field {
-	return []place.Field{
+func (n *Node) fields() []decode.Field {
+	return []decode.Field{
 		{Key: "name", Required: true, Read: name(&n.Name)},
 		{Key: "data_centre", Required: true, Read: name(&n.DataCentre)},
 		{Key: "region", Required: true, Read: name(&n.Region)},
 		{Key: "service", Required: true, Read: name(&n.Service)},
-		{Key: "caller_listen", Required: true, Read: place.Listen(&n.CallerListen)},
-		{Key: "relay_listen", Required: true, Read: place.Listen(&n.RelayListen)},
-		{Key: "admin_listen", Required: true, Read: place.Listen(&n.AdminListen)},
-		{Key: "target_address", Required: true, Read: place.Address(&n.TargetAddress)},
-		{Key: "platform_address", Required: true, Read: place.Address(&n.PlatformAddress)},
-		{Key: "ready_listen", Read: place.Listen(&n.ReadyListen)},
-		{Key: "control_listen", Read: place.Listen(&n.ControlListen)},
-		{Key: "relay_address", Read: place.Address(&n.RelayAddress)},
+		{Key: "caller_listen", Required: true, Read: decode.Listen(&n.CallerListen)},
+		{Key: "relay_listen", Required: true, Read: decode.Listen(&n.RelayListen)},
+		{Key: "admin_listen", Required: true, Read: decode.Listen(&n.AdminListen)},
+		{Key: "target_address", Required: true, Read: decode.Address(&n.TargetAddress)},
+		{Key: "platform_address", Required: true, Read: decode.Address(&n.PlatformAddress)},
+		{Key: "ready_listen", Read: decode.Listen(&n.ReadyListen)},
+		{Key: "control_listen", Read: decode.Listen(&n.ControlListen)},
+		{Key: "relay_address", Read: decode.Address(&n.RelayAddress)},
 		{Key: "relay_from", Read: ipAddress(&n.RelayFrom)},
 		{Key: "operator_token", Read: token(&n.OperatorToken)},
 		{Key: "log_level", Read: level(&n.LogLevel)},
-		{Key: "retry_share", Read: place.Float(&n.RetryShare, 0, 1)},
-		{Key: "retry_window", Read: place.Duration(&n.RetryWindow, minRetryWindow, time.Hour)},
-		{Key: "retry_slack", Read: place.Int(&n.RetrySlack, 0, maxRetrySlack)},
-		{Key: "drain_timeout", Read: place.Duration(&n.DrainTimeout, 0, maxDrainTimeout)},
-		{Key: "memory_bytes", Read: place.Size(&n.MemoryBytes, minMemoryBytes, maxMemoryBytes)},
+		{Key: "retry_share", Read: decode.Float(&n.RetryShare, 0, 1)},
+		{Key: "retry_window", Read: decode.Duration(&n.RetryWindow, minRetryWindow, time.Hour)},
+		{Key: "retry_slack", Read: decode.Int(&n.RetrySlack, 0, maxRetrySlack)},
+		{Key: "drain_timeout", Read: decode.Duration(&n.DrainTimeout, 0, maxDrainTimeout)},
+		{Key: "memory_bytes", Read: decode.Size(&n.MemoryBytes, minMemoryBytes, maxMemoryBytes)},
 	}
 }
 
 // checkListen reports an address that two keys share. Port 0 selects any free port, so it
 // may occur twice. The announced relay address leads to the relay listener, so it must
 // not equal the address of another one.
-func checkListen(reader *place.Reader, object place.Object) {
+func checkListen(reader *decode.Reader, object decode.Object) {
 	taken := map[string]string{}
 	for _, key := range []string{"caller_listen", "relay_listen", "admin_listen", "ready_listen", "control_listen", "target_address", "relay_address"} {
 		value, present := object.Fields[key]
@@ -171,13 +171,13 @@
 	}
 }
 
-func name(to *string) func(*place.Reader, place.Value) {
-	return place.Match(to, namePattern, nameFormat)
+func name(to *string) func(*decode.Reader, decode.Value) {
+	return decode.Match(to, namePattern, nameFormat)
 }
 
 // ipAddress reads an IP address of this host.
-func ipAddress(to *string) func(*place.Reader, place.Value) {
-	return func(r *place.Reader, value place.Value) {
+func ipAddress(to *string) func(*decode.Reader, decode.Value) {
+	return func(r *decode.Reader, value decode.Value) {
 		address, err := netip.ParseAddr(value.Node.Value)
 		if err != nil || address.IsUnspecified() || address.Zone() != "" {
 			r.Report(value, "an IP address of this host (such as 10.0.0.7)")
@@ -189,8 +189,8 @@
 
 // token reads the operators' token. The error does not repeat an invalid token, since it
 // may be logged.
-func token(to *string) func(*place.Reader, place.Value) {
-	return func(r *place.Reader, value place.Value) {
+func token(to *string) func(*decode.Reader, decode.Value) {
+	return func(r *decode.Reader, value decode.Value) {
 		if !tokenPattern.MatchString(value.Node.Value) {
 			r.ReportSecret(value, "a token of "+minTokenLength+" to 256 letters without spaces")
 			return
@@ -199,10 +199,10 @@
 	}
 }
 
-func level(to *string) func(*place.Reader, place.Value) {
-	return func(r *place.Reader, value place.Value) {
+func level(to *string) func(*decode.Reader, decode.Value) {
+	return func(r *decode.Reader, value decode.Value) {
 		index := logLevel(len(logLevels))
-		place.Enum(&index, logLevels...)(r, value)
+		decode.Enum(&index, logLevels...)(r, value)
 		if int(index) < len(logLevels) {
 			*to = logLevels[index]
 		}
--- a/internal/shell/config.go
+++ b/internal/shell/config.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 
 	"github.com/dandelionfield/dandelionfield/internal/admin"
-	"github.com/dandelionfield/dandelionfield/internal/place"
+	"github.com/dandelionfield/dandelionfield/internal/decode"
 	"github.com/dandelionfield/dandelionfield/internal/setup"
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
@@ -68,7 +68,7 @@
 }
 
 func (a *app) check(paths, settings []string) error {
-	var problems place.Problems
+	var problems decode.Problems
 	var summary []string
 	if len(paths) > 0 {
 		set, err := schema.ParseFiles(paths...)
@@ -91,7 +91,7 @@
 	}
 	if a.output != outputTable {
 		if err := a.print(struct {
-			Problems place.Problems `json:"problems"`
+			Problems decode.Problems `json:"problems"`
 		}{problems}, nil); err != nil {
 			return err
 		}
@@ -106,8 +106,8 @@
 }
 
 // collectProblems appends the problems that err holds, and returns any other error.
-func collectProblems(to *place.Problems, err error) error {
-	var problems place.Problems
+func collectProblems(to *decode.Problems, err error) error {
+	var problems decode.Problems
 	if errors.As(err, &problems) {
 		*to = append(*to, problems...)
 		return nil
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -19,9 +19,9 @@
 	"github.com/spf13/cobra"
 
 	"github.com/dandelionfield/dandelionfield/internal/clock"
-	"github.com/dandelionfield/dandelionfield/internal/place"
+	"github.com/dandelionfield/dandelionfield/internal/decode"
+	"github.com/dandelionfield/dandelionfield/internal/loglim"
 	"github.com/dandelionfield/dandelionfield/internal/setup"
-	"github.com/dandelionfield/dandelionfield/internal/trail"
 )
 
 type (
@@ -158,7 +158,7 @@
 			if err != nil {
 				return badFileError(err)
 			}
-			lines := trail.NewWriter(a.stdout)
+			lines := loglim.NewWriter(a.stdout)
 			defer lines.Close(logFlushTimeout)
 			log := newLogger(node.LogLevel, lines, a.Clock)
 			node.Reloads = watchSettings(command.Context(), config, log)
@@ -204,7 +204,7 @@
 		if err == nil || errorx.Cast(err) != nil {
 			return err
 		}
-		var problems place.Problems
+		var problems decode.Problems
 		if errors.As(err, &problems) {
 			return err
 		}
@@ -215,7 +215,7 @@
 // badFileError converts an error from reading a file to BadInput. Problems with positions
 // are returned without a prefix, as each of them names its file.
 func badFileError(err error) error {
-	var problems place.Problems
+	var problems decode.Problems
 	if errors.As(err, &problems) {
 		return problems
 	}
@@ -239,7 +239,7 @@
 // errorText formats an error for the operator: without the names of its types, and with
 // each problem on a line of its own.
 func errorText(err error) string {
-	var problems place.Problems
+	var problems decode.Problems
 	if errors.As(err, &problems) {
 		return problems.Error()
 	}
--- a/internal/shell/status.go
+++ b/internal/shell/status.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 
 	"github.com/dandelionfield/dandelionfield/internal/admin"
-	"github.com/dandelionfield/dandelionfield/internal/place"
+	"github.com/dandelionfield/dandelionfield/internal/decode"
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
@@ -125,7 +125,7 @@
 	for _, info := range all {
 		names = append(names, info.Name)
 	}
-	if suggestion := place.Closest(text, names); suggestion != "" {
+	if suggestion := decode.Closest(text, names); suggestion != "" {
 		return BadInput.New("no code %q; did you mean %s?", text, suggestion)
 	}
 	return BadInput.New("no code %q; `dandelionfield explain --all` lists them", text)
--- a/internal/shell/watch.go
+++ b/internal/shell/watch.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"github.com/dandelionfield/dandelionfield/internal/admin"
-	"github.com/dandelionfield/dandelionfield/internal/place"
+	"github.com/dandelionfield/dandelionfield/internal/decode"
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
@@ -89,7 +89,7 @@
 			return nil
 		}
 	}
-	if suggestion := place.Closest(name, types); suggestion != "" {
+	if suggestion := decode.Closest(name, types); suggestion != "" {
 		return BadInput.New("no resource type %q; did you mean %s?", name, suggestion)
 	}
 	return BadInput.New("no resource type %q; the types are %s", name, strings.Join(types, ", "))
--- a/pkg/schema/check.go
+++ b/pkg/schema/check.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"github.com/dandelionfield/dandelionfield/internal/place"
+	"github.com/dandelionfield/dandelionfield/internal/decode"
 )
 
 // check validates the resources against each other after all files have been parsed. The
@@ -150,7 +150,7 @@
 		}
 		content := field.Node.Content
 		for i := 0; i+1 < len(content); i += 2 {
-			key := place.Value{Node: content[i], Path: field.Path}
+			key := decode.Value{Node: content[i], Path: field.Path}
 			if content[i].Value == centre.Name || !slices.Contains(known, content[i].Value) {
 				decl.reader.Report(key, "another declared data centre"+suggest(content[i].Value, without(known, centre.Name)))
 			}
@@ -168,11 +168,11 @@
 	limits := p.set.Limits
 	if limits.MaxAnswerBytes > limits.HeldBytes {
 		decl.reader.Reportf(decl.firstDeclared("max_answer_bytes", "held_bytes"),
-			"max_answer_bytes at most held_bytes (%s)", place.FormatSize(limits.HeldBytes))
+			"max_answer_bytes at most held_bytes (%s)", decode.FormatSize(limits.HeldBytes))
 	}
 	if limits.MaxAnswerBytes > limits.RecordBytes {
 		decl.reader.Reportf(decl.firstDeclared("max_answer_bytes", "record_bytes"),
-			"max_answer_bytes at most record_bytes (%s)", place.FormatSize(limits.RecordBytes))
+			"max_answer_bytes at most record_bytes (%s)", decode.FormatSize(limits.RecordBytes))
 	}
 	if limits.ClockMargin*marginsPerLease > limits.OwnerLease {
 		decl.reader.Reportf(decl.firstDeclared("clock_margin", "owner_lease"),
@@ -182,7 +182,7 @@
 
 // firstDeclared returns the position of the first of the given fields that is declared, or
 // that of the whole resource if none is.
-func (d declaration) firstDeclared(keys ...string) place.Value {
+func (d declaration) firstDeclared(keys ...string) decode.Value {
 	for _, key := range keys {
 		if value, present := d.Fields[key]; present {
 			return value
@@ -200,7 +200,7 @@
 }
 
 // items returns the elements of a list with their positions, or nil if there is no list.
-func items(list place.Value) []place.Value {
+func items(list decode.Value) []decode.Value {
 	if list.Node == nil {
 		return nil
 	}
@@ -215,7 +215,7 @@
 // suggest returns a hint with the closest of the names, to be appended to a message, or ""
 // if none is close.
 func suggest(word string, names []string) string {
-	if suggestion := place.Closest(word, names); suggestion != "" {
+	if suggestion := decode.Closest(word, names); suggestion != "" {
 		return " (did you mean \"" + suggestion + "\"?)"
 	}
 	return ""
--- a/pkg/schema/document.go
+++ b/pkg/schema/document.go
@@ -10,7 +10,7 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"github.com/dandelionfield/dandelionfield/internal/place"
+	"github.com/dandelionfield/dandelionfield/internal/decode"
 )
 
 type (
@@ -287,13 +287,13 @@
 
 func (l Limits) resource() Resource {
 	return Resource{Type: TypeLimits, Name: LimitsName, Fields: []FieldValue{
-		{"max_request_bytes", stringNode(place.FormatSize(l.MaxRequestBytes))},
-		{"max_answer_bytes", stringNode(place.FormatSize(l.MaxAnswerBytes))},
-		{"max_header_bytes", stringNode(place.FormatSize(l.MaxHeaderBytes))},
+		{"max_request_bytes", stringNode(decode.FormatSize(l.MaxRequestBytes))},
+		{"max_answer_bytes", stringNode(decode.FormatSize(l.MaxAnswerBytes))},
+		{"max_header_bytes", stringNode(decode.FormatSize(l.MaxHeaderBytes))},
 		{"header_timeout", stringNode(l.HeaderTimeout.String())},
 		{"idle_timeout", stringNode(l.IdleTimeout.String())},
-		{"held_bytes", stringNode(place.FormatSize(l.HeldBytes))},
-		{"record_bytes", stringNode(place.FormatSize(l.RecordBytes))},
+		{"held_bytes", stringNode(decode.FormatSize(l.HeldBytes))},
+		{"record_bytes", stringNode(decode.FormatSize(l.RecordBytes))},
 		{"key_age", stringNode(l.KeyAge.String())},
 		{"owner_lease", stringNode(l.OwnerLease.String())},
 		{"clock_margin", stringNode(l.ClockMargin.String())},
--- a/pkg/schema/match.go
+++ b/pkg/schema/match.go
@@ -10,7 +10,7 @@
 	"regexp"
 	"strings"
 
-	"github.com/dandelionfield/dandelionfield/internal/place"
+	"github.com/dandelionfield/dandelionfield/internal/decode"
 )
 
 type (
@@ -181,11 +181,11 @@
 }
 
 // pathPattern returns a function that reads the path of a kind.
-func pathPattern(dst *string) func(*place.Reader, place.Value) {
+func pathPattern(dst *string) func(*decode.Reader, decode.Value) {
 	const expected = "a path such as /allowances/{household}"
-	return func(r *place.Reader, value place.Value) {
+	return func(r *decode.Reader, value decode.Value) {
 		var text string
-		place.Match(&text, pathRegexp, expected)(r, value)
+		decode.Match(&text, pathRegexp, expected)(r, value)
 		if text == "" {
 			return
 		}
--- a/pkg/schema/parse.go
+++ b/pkg/schema/parse.go
@@ -12,7 +12,7 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"github.com/dandelionfield/dandelionfield/internal/place"
+	"github.com/dandelionfield/dandelionfield/internal/decode"
 )
 
 // Values of the key `resource`.
@@ -35,8 +35,8 @@
 
 	// declaration is a parsed resource with the positions of its fields.
 	declaration struct {
-		place.Object
-		reader *place.Reader
+		decode.Object
+		reader *decode.Reader
 		name   string
 	}
 
@@ -44,7 +44,7 @@
 	parser struct {
 		set          Set
 		declarations map[string]map[string]declaration // by type, then by name
-		readers      []*place.Reader
+		readers      []*decode.Reader
 	}
 )
 
@@ -134,7 +134,7 @@
 		declarations: map[string]map[string]declaration{},
 	}
 	for _, source := range sources {
-		reader := &place.Reader{File: source.file}
+		reader := &decode.Reader{File: source.file}
 		p.readers = append(p.readers, reader)
 		for _, document := range reader.Documents(source.data) {
 			p.resource(reader, document)
@@ -142,7 +142,7 @@
 	}
 	p.set.sort()
 	p.check()
-	var problems place.Problems
+	var problems decode.Problems
 	for _, reader := range p.readers {
 		problems = append(problems, reader.Problems...)
 	}
@@ -153,7 +153,7 @@
 }
 
 // resource decodes one YAML document according to its resource type.
-func (p *parser) resource(reader *place.Reader, document place.Value) {
+func (p *parser) resource(reader *decode.Reader, document decode.Value) {
 	switch resourceType(document) {
 	case TypeService:
 		p.service(reader, document)
@@ -170,7 +170,7 @@
 
 // resourceType returns the value of the key `resource`, which determines how the other keys
 // are read. It is empty if there is no such key.
-func resourceType(document place.Value) string {
+func resourceType(document decode.Value) string {
 	content := document.Node.Content
 	for i := 0; i+1 < len(content); i += 2 {
 		if content[i].Value == "resource" {
@@ -182,31 +182,31 @@
 
 // unknownType reports a document whose resource type is missing or invalid. Its other keys
 // cannot be validated without the type.
-func (p *parser) unknownType(reader *place.Reader, document place.Value) {
+func (p *parser) unknownType(reader *decode.Reader, document decode.Value) {
 	content := document.Node.Content
 	for i := 0; i+1 < len(content); i += 2 {
 		if content[i].Value == "resource" {
-			reader.Reportf(place.Value{Node: content[i+1], Path: "resource"}, "one of %s", strings.Join(resourceTypes, ", "))
+			reader.Reportf(decode.Value{Node: content[i+1], Path: "resource"}, "one of %s", strings.Join(resourceTypes, ", "))
 			return
 		}
 	}
 	reader.Reportf(document, "a resource with the key resource: %s", strings.Join(resourceTypes, "|"))
 }
 
-func (p *parser) service(reader *place.Reader, document place.Value) {
+func (p *parser) service(reader *decode.Reader, document decode.Value) {
 	service := DefaultService()
 	service.Queue = -1
-	object := reader.Object(document, []place.Field{
+	object := reader.Object(document, []decode.Field{
 		typeField(),
 		{Key: "name", Required: true, Read: name(&service.Name)},
-		{Key: "slots", Required: true, Read: place.Int(&service.Slots, 1, maxSlots)},
-		{Key: "connections", Required: true, Read: place.Int(&service.Connections, 1, maxConnections)},
-		{Key: "queue", Read: place.Int(&service.Queue, 0, maxQueue)},
-		{Key: "queue_wait", Read: place.Duration(&service.QueueWait, 0, maxWait)},
-		{Key: "cold_start", Read: place.Duration(&service.ColdStart, 0, maxWait)},
-		{Key: "retry_share", Read: place.Float(&service.RetryShare, 0, 1)},
-		{Key: "shed_status", Read: place.Int(&service.ShedStatus, 400, 599)},
-		{Key: "health_path", Read: place.Match(&service.HealthPath, healthPattern, "a path that begins with /")},
+		{Key: "slots", Required: true, Read: decode.Int(&service.Slots, 1, maxSlots)},
+		{Key: "connections", Required: true, Read: decode.Int(&service.Connections, 1, maxConnections)},
+		{Key: "queue", Read: decode.Int(&service.Queue, 0, maxQueue)},
+		{Key: "queue_wait", Read: decode.Duration(&service.QueueWait, 0, maxWait)},
+		{Key: "cold_start", Read: decode.Duration(&service.ColdStart, 0, maxWait)},
+		{Key: "retry_share", Read: decode.Float(&service.RetryShare, 0, 1)},
+		{Key: "shed_status", Read: decode.Int(&service.ShedStatus, 400, 599)},
+		{Key: "health_path", Read: decode.Match(&service.HealthPath, healthPattern, "a path that begins with /")},
 	})
 	if service.Queue < 0 {
 		service.Queue = service.Slots
@@ -216,24 +216,24 @@
 	}
 }
 
-func (p *parser) kind(reader *place.Reader, document place.Value) {
+func (p *parser) kind(reader *decode.Reader, document decode.Value) {
 	kind := DefaultKind()
 	repeat := Repeat(255)
-	object := reader.Object(document, []place.Field{
+	object := reader.Object(document, []decode.Field{
 		typeField(),
 		{Key: "name", Required: true, Read: name(&kind.Name)},
 		{Key: "service", Read: name(&kind.Service)},
 		{Key: "split", Read: split(&kind.Split)},
 		{Key: "method", Read: method(&kind.Method)},
 		{Key: "path", Read: pathPattern(&kind.Path)},
-		{Key: "host", Read: place.Match(&kind.Host, hostPattern, "a host name in lower case")},
-		{Key: "prefix", Read: place.Match(&kind.Prefix, prefixPattern, "a path that begins and ends with /")},
-		{Key: "importance", Read: place.Enum(&kind.Importance, Low.String(), Normal.String(), High.String(), Critical.String())},
-		{Key: "repeat", Read: place.Enum(&repeat, Safe.String(), Never.String())},
-		{Key: "deadline", Read: place.Duration(&kind.Deadline, minDeadline, maxDeadline)},
-		{Key: "retries", Read: place.Int(&kind.Retries, 0, maxRetries)},
+		{Key: "host", Read: decode.Match(&kind.Host, hostPattern, "a host name in lower case")},
+		{Key: "prefix", Read: decode.Match(&kind.Prefix, prefixPattern, "a path that begins and ends with /")},
+		{Key: "importance", Read: decode.Enum(&kind.Importance, Low.String(), Normal.String(), High.String(), Critical.String())},
+		{Key: "repeat", Read: decode.Enum(&repeat, Safe.String(), Never.String())},
+		{Key: "deadline", Read: decode.Duration(&kind.Deadline, minDeadline, maxDeadline)},
+		{Key: "retries", Read: decode.Int(&kind.Retries, 0, maxRetries)},
 		{Key: "calls", Read: names(&kind.Calls)},
-		{Key: "objective", Read: place.Duration(&kind.Objective, 0, maxDeadline)},
+		{Key: "objective", Read: decode.Duration(&kind.Objective, 0, maxDeadline)},
 	})
 	checkSelection(reader, object)
 	kind.Repeat = repeat
@@ -245,34 +245,34 @@
 	}
 }
 
-func (p *parser) dataCentre(reader *place.Reader, document place.Value) {
+func (p *parser) dataCentre(reader *decode.Reader, document decode.Value) {
 	var centre DataCentre
-	object := reader.Object(document, []place.Field{
+	object := reader.Object(document, []decode.Field{
 		typeField(),
 		{Key: "name", Required: true, Read: centreName(&centre.Name)},
 		{Key: "region", Required: true, Read: centreName(&centre.Region)},
-		{Key: "distances", Read: place.Durations(&centre.Distances, 0, maxDistance)},
+		{Key: "distances", Read: decode.Durations(&centre.Distances, 0, maxDistance)},
 	})
 	if p.declare(reader, object, TypeDataCentre, centre.Name) {
 		p.set.DataCentres = append(p.set.DataCentres, centre)
 	}
 }
 
-func (p *parser) limits(reader *place.Reader, document place.Value) {
+func (p *parser) limits(reader *decode.Reader, document decode.Value) {
 	limits := DefaultLimits()
-	object := reader.Object(document, []place.Field{
+	object := reader.Object(document, []decode.Field{
 		typeField(),
-		{Key: "max_request_bytes", Read: place.Size(&limits.MaxRequestBytes, 1, maxMessageBytes)},
-		{Key: "max_answer_bytes", Read: place.Size(&limits.MaxAnswerBytes, 1, maxMessageBytes)},
-		{Key: "max_header_bytes", Read: place.Size(&limits.MaxHeaderBytes, minHeaderBytes, maxMessageBytes)},
-		{Key: "header_timeout", Read: place.Duration(&limits.HeaderTimeout, minDeadline, maxWait)},
-		{Key: "idle_timeout", Read: place.Duration(&limits.IdleTimeout, minDeadline, maxWait)},
-		{Key: "held_bytes", Read: place.Size(&limits.HeldBytes, 1, maxMemoryBytes)},
-		{Key: "record_bytes", Read: place.Size(&limits.RecordBytes, 1, maxMemoryBytes)},
-		{Key: "key_age", Read: place.Duration(&limits.KeyAge, minOwnerLease, maxKeyAge)},
-		{Key: "owner_lease", Read: place.Duration(&limits.OwnerLease, minOwnerLease, maxOwnerLease)},
-		{Key: "clock_margin", Read: place.Duration(&limits.ClockMargin, 0, MaxClockMargin)},
-		{Key: "kept_revisions", Read: place.Int(&limits.KeptRevisions, 1, maxKeptRevisions)},
+		{Key: "max_request_bytes", Read: decode.Size(&limits.MaxRequestBytes, 1, maxMessageBytes)},
+		{Key: "max_answer_bytes", Read: decode.Size(&limits.MaxAnswerBytes, 1, maxMessageBytes)},
+		{Key: "max_header_bytes", Read: decode.Size(&limits.MaxHeaderBytes, minHeaderBytes, maxMessageBytes)},
+		{Key: "header_timeout", Read: decode.Duration(&limits.HeaderTimeout, minDeadline, maxWait)},
+		{Key: "idle_timeout", Read: decode.Duration(&limits.IdleTimeout, minDeadline, maxWait)},
+		{Key: "held_bytes", Read: decode.Size(&limits.HeldBytes, 1, maxMemoryBytes)},
+		{Key: "record_bytes", Read: decode.Size(&limits.RecordBytes, 1, maxMemoryBytes)},
+		{Key: "key_age", Read: decode.Duration(&limits.KeyAge, minOwnerLease, maxKeyAge)},
+		{Key: "owner_lease", Read: decode.Duration(&limits.OwnerLease, minOwnerLease, maxOwnerLease)},
+		{Key: "clock_margin", Read: decode.Duration(&limits.ClockMargin, 0, MaxClockMargin)},
+		{Key: "kept_revisions", Read: decode.Int(&limits.KeptRevisions, 1, maxKeptRevisions)},
 	})
 	if p.declare(reader, object, TypeLimits, LimitsName) {
 		p.set.Limits = limits
@@ -281,7 +281,7 @@
 
 // declare records the position of a resource and reports whether its name is new. A
 // resource whose name could not be read is left out of the checks that follow.
-func (p *parser) declare(reader *place.Reader, object place.Object, resourceType, name string) bool {
+func (p *parser) declare(reader *decode.Reader, object decode.Object, resourceType, name string) bool {
 	if name == "" {
 		return false
 	}
@@ -313,20 +313,20 @@
 }
 
 // typeField accepts the key `resource`, whose value resourceType has already read.
-func typeField() place.Field {
-	return place.Field{Key: "resource", Required: true, Read: func(*place.Reader, place.Value) {}}
+func typeField() decode.Field {
+	return decode.Field{Key: "resource", Required: true, Read: func(*decode.Reader, decode.Value) {}}
 }
 
-func name(dst *string) func(*place.Reader, place.Value) {
-	return place.Match(dst, namePattern, "a name in snake_case of at most 63 letters")
+func name(dst *string) func(*decode.Reader, decode.Value) {
+	return decode.Match(dst, namePattern, "a name in snake_case of at most 63 letters")
 }
 
-func centreName(dst *string) func(*place.Reader, place.Value) {
-	return place.Match(dst, dataCentrePattern, "a name of at most 63 lower-case letters, digits, _ and -")
+func centreName(dst *string) func(*decode.Reader, decode.Value) {
+	return decode.Match(dst, dataCentrePattern, "a name of at most 63 lower-case letters, digits, _ and -")
 }
 
-func method(dst *string) func(*place.Reader, place.Value) {
-	return func(r *place.Reader, value place.Value) {
+func method(dst *string) func(*decode.Reader, decode.Value) {
+	return func(r *decode.Reader, value decode.Value) {
 		if !slices.Contains(methods, value.Node.Value) {
 			r.Reportf(value, "one of %s", strings.Join(methods, ", "))
 			return
@@ -338,7 +338,7 @@
 // checkSelection reports a kind that does not declare exactly one of path and prefix, or
 // exactly one of service and split. It also reports a host without a prefix, and a method
 // with a prefix.
-func checkSelection(reader *place.Reader, object place.Object) {
+func checkSelection(reader *decode.Reader, object decode.Object) {
 	for _, pair := range [][2]string{{"path", "prefix"}, {"service", "split"}} {
 		_, first := object.Fields[pair[0]]
 		second, both := object.Fields[pair[1]]
@@ -359,15 +359,15 @@
 }
 
 // split returns a function that reads a mapping from services to weights.
-func split(dst *[]Share) func(*place.Reader, place.Value) {
-	return func(r *place.Reader, value place.Value) {
+func split(dst *[]Share) func(*decode.Reader, decode.Value) {
+	return func(r *decode.Reader, value decode.Value) {
 		if value.Node.Kind != yaml.MappingNode || len(value.Node.Content) == 0 {
 			r.Report(value, "a mapping from services to weights")
 			return
 		}
-		r.Each(value, func(key *yaml.Node, child place.Value) {
+		r.Each(value, func(key *yaml.Node, child decode.Value) {
 			share := Share{Service: key.Value, Weight: -1}
-			place.Int(&share.Weight, 0, maxWeight)(r, child)
+			decode.Int(&share.Weight, 0, maxWeight)(r, child)
 			if share.Weight >= 0 {
 				*dst = append(*dst, share)
 			}
@@ -376,8 +376,8 @@
 }
 
 // names returns a function that reads a list of names without duplicates.
-func names(dst *[]string) func(*place.Reader, place.Value) {
-	return place.List(func(r *place.Reader, value place.Value, text string) {
+func names(dst *[]string) func(*decode.Reader, decode.Value) {
+	return decode.List(func(r *decode.Reader, value decode.Value, text string) {
 		if slices.Contains(*dst, text) {
 			r.Report(value, "each name once")
 			return
