--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -7,7 +7,7 @@
 // request knows the floors of the services along the request's call chain and
 // rejects at the entry what would be rejected downstream, before any work is
 // spent on it. A Throttle limits the share of each kind of request that an
-// entry node admits, by the pressure on the services that the kind calls.
+// entry node admits, according to the pressure on the services that the kind calls.
 //
 // The package has no clock and performs no I/O: the caller passes in the time
 // and carries out the decisions. No type is safe for concurrent use.
@@ -91,8 +91,8 @@
 		Started   time.Time
 		// Opaque is set if the node cannot tell on behalf of which call the target
 		// makes its own calls. Silence and failures may then come from downstream
-		// and do not count against the target, and a shed counts only near the
-		// number of slots that the target announced.
+		// and do not count against the target, and a shed counts only while nearly
+		// as many calls are in flight as the target announced slots.
 		Opaque bool
 	}
 
--- a/internal/admit/demand.go
+++ b/internal/admit/demand.go
@@ -30,8 +30,8 @@
 	// Positions are hashes, so the calls of one importance are spread evenly over
 	// its positions. The calls above the floor divided by the share of positions
 	// above the floor therefore give the total demand. For example, with a floor at
-	// three quarters of normal and 50 observed calls a second, the demand is
-	// 50/(1/4) = 200 calls a second.
+	// three quarters of the positions of normal importance and 50 observed calls a
+	// second of that importance, its demand is 50/(1/4) = 200 calls a second.
 	demand struct {
 		arrivals [importanceCount]float64
 		// exposure is the observed time in seconds, weighted by the share of
--- a/internal/admit/door.go
+++ b/internal/admit/entrygate.go
@@ -15,7 +15,8 @@
 )
 
 type (
-	// EntryGate holds the floors of services as an entry node knows them.
+	// EntryGate decides at an entry node which requests to admit, by the floors of
+	// services that nodes have reported.
 	EntryGate struct {
 		// levels holds the last level by service and node.
 		levels map[string]map[string]floorSample
@@ -40,22 +41,22 @@
 	}
 )
 
-// NewEntryGate returns an empty set of floors, which allows every request.
+// NewEntryGate returns a gate without floors, which allows every request.
 func NewEntryGate() *EntryGate {
 	return &EntryGate{levels: map[string]map[string]floorSample{}, combine: lowerQuartile}
 }
 
 // Learn stores a floor that was measured the given time ago, unless a newer one of
 // the same node is stored already or it has expired.
-func (d *EntryGate) Learn(now time.Time, service, node string, floor uint32, age time.Duration) {
+func (g *EntryGate) Learn(now time.Time, service, node string, floor uint32, age time.Duration) {
 	if age >= levelExpiry {
 		return
 	}
 	measured := now.Add(-max(age, 0))
-	nodes := d.levels[service]
+	nodes := g.levels[service]
 	if nodes == nil {
 		nodes = map[string]floorSample{}
-		d.levels[service] = nodes
+		g.levels[service] = nodes
 	}
 	if nodes[node].measured.After(measured) {
 		return
@@ -65,9 +66,9 @@
 
 // Allows reports whether the order is at or above the floors of all the services. If
 // not, it returns the first service whose floor is above the order.
-func (d *EntryGate) Allows(now time.Time, services []string, order uint32) (string, bool) {
+func (g *EntryGate) Allows(now time.Time, services []string, order uint32) (string, bool) {
 	for _, service := range services {
-		if order < d.floor(now, service) {
+		if order < g.floor(now, service) {
 			return service, false
 		}
 	}
@@ -75,58 +76,58 @@
 }
 
 // Levels returns all levels that have not expired.
-func (d *EntryGate) Levels(now time.Time) []Level {
-	services := make([]string, 0, len(d.levels))
-	for service := range d.levels {
+func (g *EntryGate) Levels(now time.Time) []Level {
+	services := make([]string, 0, len(g.levels))
+	for service := range g.levels {
 		services = append(services, service)
 	}
-	return d.LevelsOf(now, services)
+	return g.LevelsOf(now, services)
 }
 
-// LevelsOf returns the unexpired levels of the given services. It serves answers to
-// callers that can use no others. Expired levels are removed.
-func (d *EntryGate) LevelsOf(now time.Time, services []string) []Level {
+// LevelsOf returns the unexpired levels of the given services and removes their expired
+// ones. It is for answers to callers that have no use for other services' levels.
+func (g *EntryGate) LevelsOf(now time.Time, services []string) []Level {
 	var levels []Level
 	for _, service := range services {
-		for node, sample := range d.levels[service] {
+		for node, sample := range g.levels[service] {
 			age := now.Sub(sample.measured)
 			if age < levelExpiry {
 				levels = append(levels, Level{Service: service, Node: node, Floor: sample.floor, Age: age})
 				continue
 			}
-			d.drop(service, node)
+			g.drop(service, node)
 		}
 	}
 	return levels
 }
 
 // Forget removes the levels of a node.
-func (d *EntryGate) Forget(node string) {
-	for service := range d.levels {
-		d.drop(service, node)
+func (g *EntryGate) Forget(node string) {
+	for service := range g.levels {
+		g.drop(service, node)
 	}
 }
 
-func (d *EntryGate) drop(service, node string) {
-	delete(d.levels[service], node)
-	if len(d.levels[service]) == 0 {
-		delete(d.levels, service)
+func (g *EntryGate) drop(service, node string) {
+	delete(g.levels[service], node)
+	if len(g.levels[service]) == 0 {
+		delete(g.levels, service)
 	}
 }
 
 // floor returns the service's floor, or 0 if no level of it is known.
-func (d *EntryGate) floor(now time.Time, service string) uint32 {
-	floors := make([]uint32, 0, len(d.levels[service]))
-	for _, h := range d.levels[service] {
-		if age := now.Sub(h.measured); age < levelExpiry {
-			floors = append(floors, decayedFloor(h.floor, age))
+func (g *EntryGate) floor(now time.Time, service string) uint32 {
+	floors := make([]uint32, 0, len(g.levels[service]))
+	for _, sample := range g.levels[service] {
+		if age := now.Sub(sample.measured); age < levelExpiry {
+			floors = append(floors, decayedFloor(sample.floor, age))
 		}
 	}
 	if len(floors) == 0 {
 		return 0
 	}
 	slices.Sort(floors)
-	return d.combine(floors)
+	return g.combine(floors)
 }
 
 // lowerQuartile returns the floor at the lower quartile, so that a request is allowed
--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -8,6 +8,7 @@
 )
 
 const (
+	// floorInterval is the least time between two updates of the floor.
 	floorInterval = 50 * time.Millisecond
 	// queueGain is the share by which the rate asked of the entry nodes exceeds the
 	// capacity when the queue is empty.
@@ -20,8 +21,8 @@
 	minQueueSample = 4
 	// busyShare is the share of the limit in flight from which a target counts as busy.
 	busyShare = 0.9
-	// rateFactorDoubling is the time between updates of the floor that doubles or halves
-	// the rate asked of the entry nodes; a shorter time changes the rate by less.
+	// rateFactorDoubling is the time between two updates of the floor after which an update
+	// doubles or halves Gate.rateFactor. After a shorter time it changes the factor by less.
 	rateFactorDoubling = 250 * time.Millisecond
 	// probeShare is the share of the limit that is admitted in spite of infeasible
 	// deadlines, to notice that the target has become fast again.
@@ -176,7 +177,7 @@
 // Cancel removes a queued call whose caller disconnected. For an admitted call, use
 // Done with Abandoned instead.
 func (g *Gate) Cancel(now time.Time, id string) []Release {
-	g.queue.remove(func(w queuedCall) bool { return w.call.ID == id })
+	g.queue.remove(func(c queuedCall) bool { return c.call.ID == id })
 	return g.fill(now)
 }
 
@@ -274,12 +275,12 @@
 // therefore runs on each Tick rather than on each call.
 func (g *Gate) dropExpired(now time.Time) []Release {
 	var released []Release
-	g.queue.remove(func(w queuedCall) bool {
-		code := g.expired(now, w)
+	g.queue.remove(func(c queuedCall) bool {
+		code := g.expired(now, c)
 		if code == 0 {
 			return false
 		}
-		released = append(released, Release{ID: w.call.ID, Code: code})
+		released = append(released, Release{ID: c.call.ID, Code: code})
 		return true
 	})
 	return released
@@ -287,11 +288,11 @@
 
 // expired returns the code with which to reject a queued call that can no longer meet
 // its deadline or has been queued for too long, and 0 for any other call.
-func (g *Gate) expired(now time.Time, w queuedCall) result.Code {
+func (g *Gate) expired(now time.Time, c queuedCall) result.Code {
 	switch {
-	case !g.feasible(now, w.call):
+	case !g.feasible(now, c.call):
 		return result.DeadlinePassed
-	case now.Sub(w.arrived) >= g.settings.QueueWait:
+	case now.Sub(c.arrived) >= g.settings.QueueWait:
 		return result.QueueExpired
 	}
 	return 0
@@ -301,8 +302,8 @@
 func (g *Gate) evict() []Release {
 	var released []Release
 	for g.queue.len() > max(0, g.settings.Queue) {
-		w := g.queue.takeLowest()
-		released = append(released, Release{ID: w.call.ID, Code: result.Evicted})
+		c := g.queue.takeLowest()
+		released = append(released, Release{ID: c.call.ID, Code: result.Evicted})
 	}
 	return released
 }
--- a/internal/admit/gate_test.go
+++ b/internal/admit/gate_test.go
@@ -75,7 +75,7 @@
 				d.ScanArgs(t, "position", &position)
 				importance := schema.Importance(slices.Index(importanceSet, word))
 				call := Call{ID: id, Importance: importance, Position: uint16(position), Deadline: now.Add(durationArg(t, d, "left"))}
-				if d.HasArg("waits") {
+				if d.HasArg("awaits_downstream") {
 					call.AwaitsDownstream = func() bool { return true }
 				}
 				decision := gate.Offer(now, call)
@@ -87,7 +87,7 @@
 				return releasesText(gate.Cancel(now, id))
 			case "tick":
 				return releasesText(gate.Tick(now))
-			case "sign":
+			case "activity":
 				gate.RecordActivity(now)
 				return ""
 			case "stopped":
@@ -131,8 +131,9 @@
 	return worst
 }
 
-// settle admits and evicts queued calls and returns the verdicts by call id.
-func (n *naiveGate) settle() map[string]Verdict {
+// decide admits and evicts queued calls until the bounds hold, and returns the verdicts by
+// call id.
+func (n *naiveGate) decide() map[string]Verdict {
 	verdicts := map[string]Verdict{}
 	for len(n.waiting) > 0 && len(n.running) < n.slots {
 		i := n.best()
@@ -148,10 +149,10 @@
 	return verdicts
 }
 
-// TestGateAgainstNaive compares the gate with a reference implementation. The reference
+// TestGateMatchesReference compares the gate with a reference implementation. The reference
 // admits and evicts by order alone, so agreement means that no call is admitted while
 // one of higher order is rejected for load.
-func TestGateAgainstNaive(t *testing.T) {
+func TestGateMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
 		queue := rapid.IntRange(0, 5).Draw(t, "queue")
@@ -185,7 +186,7 @@
 					verdicts[c.ID] = d.Verdict
 				}
 			}
-			expected := naive.settle()
+			expected := naive.decide()
 			if fmt.Sprint(verdicts) != fmt.Sprint(expected) {
 				t.Fatalf("step %d: gate %v, naive %v", i, verdicts, expected)
 			}
--- a/internal/admit/goals_test.go
+++ b/internal/admit/goals_test.go
@@ -23,17 +23,17 @@
 	{name: "scheduler", slots: 35, workTime: 100 * time.Millisecond},
 }
 
-func runScenario(t *testing.T, p scenario) *eventLoop {
+func runScenario(t *testing.T, s scenario) *eventLoop {
 	t.Helper()
-	p.seed = cmp.Or(p.seed, 1)
-	p.base = cmp.Or(p.base, 800)
-	p.deadline = cmp.Or(p.deadline, 2*time.Second)
-	p.wait = cmp.Or(p.wait, 500*time.Millisecond)
-	p.calls = max(p.calls, 1)
-	l := newEventLoop(p)
+	s.seed = cmp.Or(s.seed, 1)
+	s.base = cmp.Or(s.base, 800)
+	s.deadline = cmp.Or(s.deadline, 2*time.Second)
+	s.wait = cmp.Or(s.wait, 500*time.Millisecond)
+	s.calls = max(s.calls, 1)
+	l := newEventLoop(s)
 	l.run()
 	t.Logf("%-22s seed %d goodput %.3f recovery %v critical %.3f high %.3f normal %.3f low %.3f refused beside a target %d of %d",
-		p.name, p.seed, l.goodputShare(), l.recovery(), l.share(schema.Critical), l.share(schema.High), l.share(schema.Normal),
+		s.name, s.seed, l.goodputShare(), l.recovery(), l.share(schema.Critical), l.share(schema.High), l.share(schema.Normal),
 		l.share(schema.Low), l.refused, l.entered)
 	return l
 }
@@ -72,7 +72,8 @@
 	return time.Duration(recovered)*sliceTime - faultTo
 }
 
-func TestGoals(t *testing.T) {
+// The simulated system reaches the service levels under surges, slow targets and both.
+func TestSimulationMeetsServiceLevels(t *testing.T) {
 	scenarios := []struct {
 		scenario
 		protected  bool // the capacity suffices for all high and critical requests
@@ -91,35 +92,41 @@
 		{scenario: scenario{name: "surge, calls hang", surge: 3, slow: 1, hangShare: 0.02}},
 		{scenario: scenario{name: "both, short deadline", surge: 3, slow: 10, deadline: 400 * time.Millisecond}, infeasible: true},
 	}
-	for _, p := range scenarios {
-		t.Run(p.name, func(t *testing.T) {
+	for _, s := range scenarios {
+		t.Run(s.name, func(t *testing.T) {
 			is := is.New(t)
-			for p.seed = 1; p.seed <= 3; p.seed++ {
-				l := runScenario(t, p.scenario)
+			for s.seed = 1; s.seed <= 3; s.seed++ {
+				l := runScenario(t, s.scenario)
 				is.True(l.recovery() <= goalRecovery)
-				is.True(p.infeasible || l.goodputShare() >= goalGoodput)
-				is.True(!p.protected || l.share(schema.Critical) >= goalProtected)
-				is.True(!p.protected || l.share(schema.High) >= goalProtected)
+				is.True(s.infeasible || l.goodputShare() >= goalGoodput)
+				is.True(!s.protected || l.share(schema.Critical) >= goalProtected)
+				is.True(!s.protected || l.share(schema.High) >= goalProtected)
 			}
 		})
 	}
 }
 
-func TestNaiveMissesGoals(t *testing.T) {
+// Without rejection at the entry, order, deadlines and bounded queues, the simulation misses
+// the service levels, which shows that the scenarios are hard enough.
+func TestNaiveSimulationMissesServiceLevels(t *testing.T) {
 	is := is.New(t)
 	l := runScenario(t, scenario{name: "naive", surge: 3, slow: 10, naive: true, retries: 3, base: 300})
 	is.True(l.goodputShare() < goalGoodput)
 	is.True(l.recovery() > goalRecovery)
 }
 
-func TestDoorSparesWorkOnTheWay(t *testing.T) {
+// If the entry node rejects requests by the reported floors, targets reject less than a tenth
+// of the calls that they reject otherwise.
+func TestEntryGateReducesDownstreamRejections(t *testing.T) {
 	is := is.New(t)
-	with := runScenario(t, scenario{name: "door", surge: 3, slow: 10})
-	without := runScenario(t, scenario{name: "open door", surge: 3, slow: 10, admitAll: true})
+	with := runScenario(t, scenario{name: "entry gate", surge: 3, slow: 10})
+	without := runScenario(t, scenario{name: "no entry gate", surge: 3, slow: 10, admitAll: true})
 	is.True(with.refused*10 < without.refused)
 }
 
-func TestOnePositionCarriesRequestsThrough(t *testing.T) {
+// If all calls of a request have the same position, the targets reject calls of the same
+// requests, and more requests complete than with a random position for each call.
+func TestSharedPositionRaisesGoodput(t *testing.T) {
 	is := is.New(t)
 	same := runScenario(t, scenario{name: "one position", surge: 3, slow: 1, calls: 3, base: 270})
 	split := runScenario(t, scenario{name: "position per call", surge: 3, slow: 1, calls: 3, base: 270, positionPerCall: true})
--- a/internal/admit/kinds_test.go
+++ b/internal/admit/kinds_test.go
@@ -9,7 +9,7 @@
 
 // When a kind is no longer declared, its service times and downstream services are
 // discarded, and those of other kinds stay.
-func TestRemovedKindsAreForgotten(t *testing.T) {
+func TestRetainKindsDiscardsRemovedKinds(t *testing.T) {
 	is := is.New(t)
 	declared := func(kind string) bool { return kind == "stays" }
 	gate := NewGate(Settings{Slots: 4, Queue: 4, QueueWait: time.Second})
--- a/internal/admit/limit.go
+++ b/internal/admit/limit.go
@@ -18,9 +18,9 @@
 	// nearFullShare is the share of the slots in use from which a shed by an opaque target
 	// is attributed to its own slots.
 	nearFullShare = 0.8
-	// reservedShare is the share of the announced slots that stays free. Below
-	// reservedFromSlots slots all are used, because one free slot would be more than that
-	// share.
+	// reservedShare is the share of the announced slots that stays free. A target with
+	// fewer than reservedFromSlots slots uses them all, because one slot would be more
+	// than this share.
 	reservedShare     = 0.06
 	reservedFromSlots = 17
 )
--- a/internal/admit/limit_test.go
+++ b/internal/admit/limit_test.go
@@ -12,7 +12,7 @@
 // A target of 40 slots whose calls take a third longer from 95% of its slots on completes
 // more calls a second if the last slots stay free. A target without such a knee completes
 // hardly fewer.
-func TestLastSlotsCostMoreThanTheyCarry(t *testing.T) {
+func TestReservedSlotsKeepThroughput(t *testing.T) {
 	const slots = 40
 	const callTime = 40 * time.Millisecond
 	rate := func(inUse int, knee float64) float64 {
--- a/internal/admit/pulse.go
+++ b/internal/admit/liveness.go
@@ -15,11 +15,12 @@
 	// minOverdue is how many calls must be overdue at once, because a single one may
 	// just take long.
 	minOverdue = 2
-	// minQuiet is the shortest silence after which a target may be suspected to have
-	// stopped, and quietGaps how many mean gaps between two answers the silence must
-	// last. With random answers, one gap in three thousand reaches eight times the mean.
-	minQuiet  = 100 * time.Millisecond
-	quietGaps = 8
+	// minSuspectSilence is the shortest silence after which a target may be suspected to
+	// have stopped, and suspectGaps how many mean gaps between two answers the silence
+	// must last. If answers come at random, one gap in three thousand is at least eight
+	// times the mean.
+	minSuspectSilence = 100 * time.Millisecond
+	suspectGaps       = 8
 )
 
 // liveness tracks whether a target is working.
@@ -31,9 +32,9 @@
 // at a time, as a probe, and any activity ends the stop.
 //
 // For example, with 12 calls in flight of a kind with a mean time of 300 ms, one is
-// answered every 25 ms. Once two of them have seen no activity for 600 ms, the target
-// counts as stopped. Calls that wait for downstream calls are not counted, because
-// then a downstream service has stopped.
+// answered every 25 ms. Once two of them have been in flight for 600 ms without any
+// activity of the target, the target counts as stopped. Calls that wait for downstream
+// calls are not counted, because it may be a downstream service that has stopped.
 type liveness struct {
 	// lastActivity is the time of the target's last activity.
 	lastActivity time.Time
@@ -87,8 +88,8 @@
 	g.liveness.stopped = true
 	g.liveness.stoppedAt = now
 	var released []Release
-	g.queue.remove(func(w queuedCall) bool {
-		released = append(released, Release{ID: w.call.ID, Code: result.TargetStopped})
+	g.queue.remove(func(c queuedCall) bool {
+		released = append(released, Release{ID: c.call.ID, Code: result.TargetStopped})
 		return true
 	})
 	return released
@@ -104,7 +105,7 @@
 	}
 	silence := now.Sub(from)
 	mean := g.serviceTimes.overallMean()
-	if silence < minQuiet || mean == 0 {
+	if silence < minSuspectSilence || mean == 0 {
 		return false
 	}
 	pending := 0
@@ -113,7 +114,7 @@
 			pending++
 		}
 	}
-	return pending >= minOverdue && silence.Seconds() > quietGaps*mean/float64(pending)
+	return pending >= minOverdue && silence.Seconds() > suspectGaps*mean/float64(pending)
 }
 
 // waitingDownstream reports whether the target is waiting for downstream calls of this
--- a/internal/admit/offer.go
+++ b/internal/admit/load.go
@@ -11,7 +11,7 @@
 
 // queueDrainTime is the time in which the queue is to be worked off in addition to the
 // arriving calls. If exactly as many calls arrived as can be served, the queue would
-// keep its length, and a request would be queued again for each call of its chain.
+// keep its length, and a request would have to wait in a queue for each call of its chain.
 const queueDrainTime = 300 * time.Millisecond
 
 // offeredLoad measures the load offered to a target: the arrivals a second times the
--- a/internal/admit/offer_test.go
+++ b/internal/admit/load_test.go
@@ -13,7 +13,7 @@
 // A gate of ten slots is offered 500 calls a second of 40 ms each, which would occupy
 // twenty slots, however many it admits. A call that another target rejected first counts
 // towards the load offered to that target.
-func TestOfferedLoadIsWhatAllArrivalsWouldUse(t *testing.T) {
+func TestOfferedLoadCountsAllArrivals(t *testing.T) {
 	is := is.New(t)
 	gate := admit.NewGate(admit.Settings{Slots: 10, Queue: 5, QueueWait: 20 * time.Millisecond, Opaque: true})
 	now := time.Unix(1_800_000_000, 0)
--- a/internal/admit/loop_test.go
+++ b/internal/admit/loop_test.go
@@ -32,13 +32,14 @@
 		workTime time.Duration
 	}
 
-	// node is a target with its gate, and the state by which the node makes calls.
+	// node is the node beside a target: the target's gate, and what the node needs to make
+	// calls. The entry node has no gate.
 	node struct {
-		name    string
-		gate    *Gate
-		door    *EntryGate
-		table   *route.Table // targets of the next tier
-		waiting map[string]func(admitted bool)
+		name      string
+		gate      *Gate
+		entryGate *EntryGate
+		table     *route.Table // targets of the next tier
+		waiting   map[string]func(admitted bool)
 	}
 
 	request struct {
@@ -91,20 +92,20 @@
 	return e
 }
 
-func newEventLoop(p scenario) *eventLoop {
-	l := &eventLoop{scenario: p, random: rand.New(rand.NewPCG(p.seed, 1)), start: time.Unix(1_000_000, 0)}
+func newEventLoop(sc scenario) *eventLoop {
+	l := &eventLoop{scenario: sc, random: rand.New(rand.NewPCG(sc.seed, 1)), start: time.Unix(1_000_000, 0)}
 	l.now = l.start
-	l.entry = &node{name: "entry", door: NewEntryGate()}
+	l.entry = &node{name: "entry", entryGate: NewEntryGate()}
 	callers := []*node{l.entry}
 	for _, t := range chain {
 		tierNodes := make([]*node, 0, replicas)
 		targets := make([]route.Target, 0, replicas)
 		for j := range replicas {
-			s := Settings{Slots: t.slots, Queue: t.slots, QueueWait: p.wait}
-			if p.naive {
+			s := Settings{Slots: t.slots, Queue: t.slots, QueueWait: sc.wait}
+			if sc.naive {
 				s.Queue, s.QueueWait = 1<<30, time.Hour
 			}
-			n := &node{name: fmt.Sprint(t.name, j), gate: NewGate(s), door: NewEntryGate(), waiting: map[string]func(bool){}}
+			n := &node{name: fmt.Sprint(t.name, j), gate: NewGate(s), entryGate: NewEntryGate(), waiting: map[string]func(bool){}}
 			tierNodes = append(tierNodes, n)
 			targets = append(targets, route.Target{Name: n.name})
 		}
@@ -139,7 +140,7 @@
 func (l *eventLoop) tick() {
 	for _, tier := range l.nodes {
 		for _, n := range tier {
-			n.settle(n.gate.Tick(l.now))
+			n.deliver(n.gate.Tick(l.now))
 		}
 	}
 	l.after(10*time.Millisecond, l.tick)
@@ -166,7 +167,7 @@
 
 func (l *eventLoop) enter(r *request) {
 	services := []string{chain[0].name, chain[1].name, chain[2].name}
-	_, ok := l.entry.door.Allows(l.now, services, Order(r.call.Importance, r.call.Position))
+	_, ok := l.entry.entryGate.Allows(l.now, services, Order(r.call.Importance, r.call.Position))
 	if !ok && !l.scenario.admitAll && !l.scenario.naive {
 		l.ended(r, false)
 		return
@@ -206,11 +207,11 @@
 	}
 	to := l.nodes[tier][at]
 	answer := func(outcome route.Outcome) {
-		levels := append(to.door.Levels(l.now), Level{Service: chain[tier].name, Node: to.name, Floor: to.gate.Floor(l.now)})
+		levels := append(to.entryGate.Levels(l.now), Level{Service: chain[tier].name, Node: to.name, Floor: to.gate.Floor(l.now)})
 		load := to.gate.Load(l.now)
 		l.after(hopTime, func() {
 			for _, level := range levels {
-				from.door.Learn(l.now, level.Service, level.Node, level.Floor, level.Age)
+				from.entryGate.Learn(l.now, level.Service, level.Node, level.Floor, level.Age)
 			}
 			from.table.Ended(l.now, to.name, route.Report{Outcome: outcome, HasLoad: true, InFlight: load.InFlight, Limit: load.Limit, Queued: load.Queued})
 			if outcome == route.Refused {
@@ -235,14 +236,14 @@
 		call = Call{ID: call.ID, Deadline: call.Deadline.Add(time.Hour)}
 	}
 	d := n.gate.Offer(l.now, call)
-	n.settle(d.Released)
+	n.deliver(d.Released)
 	if d.Verdict != Queued {
-		n.settle([]Release{{ID: call.ID, Verdict: d.Verdict}})
+		n.deliver([]Release{{ID: call.ID, Verdict: d.Verdict}})
 	}
 }
 
-// settle passes the decisions on to the queued calls.
-func (n *node) settle(released []Release) {
+// deliver passes the decisions on to the queued calls.
+func (n *node) deliver(released []Release) {
 	for _, release := range released {
 		notify := n.waiting[release.ID]
 		delete(n.waiting, release.ID)
@@ -264,7 +265,7 @@
 		work = time.Hour
 	}
 	done := func(outcome Outcome, answered route.Outcome) {
-		n.settle(n.gate.Done(l.now, r.call.ID, outcome))
+		n.deliver(n.gate.Done(l.now, r.call.ID, outcome))
 		answer(answered)
 	}
 	left := r.call.Deadline.Sub(l.now)
--- a/internal/admit/pressure.go
+++ b/internal/admit/pressure.go
@@ -27,7 +27,7 @@
 	Pressures struct {
 		samples map[string]pressureSample
 		// downstream holds by kind the services that are called downstream of the kind's
-		// own, with the time at which an answer last showed it.
+		// own, each with the time of the last answer that showed this.
 		downstream map[string]map[string]time.Time
 	}
 
@@ -69,7 +69,8 @@
 	services[service] = now
 }
 
-// Downstream returns the services that requests of a kind call downstream of its own, sorted.
+// Downstream returns the services that requests of a kind call downstream of the
+// kind's own, sorted by name.
 func (p *Pressures) Downstream(now time.Time, kind string) []string {
 	services := p.downstream[kind]
 	maps.DeleteFunc(services, func(_ string, at time.Time) bool { return now.Sub(at) >= downstreamExpiry })
@@ -79,8 +80,8 @@
 // ForKind returns the pressure on the kind's own service and on those downstream of it.
 func (p *Pressures) ForKind(now time.Time, kind, service string) Pressure {
 	pressure := Pressure{Own: p.current(now, service)}
-	for _, below := range p.Downstream(now, kind) {
-		pressure.Downstream = max(pressure.Downstream, p.current(now, below))
+	for _, downstream := range p.Downstream(now, kind) {
+		pressure.Downstream = max(pressure.Downstream, p.current(now, downstream))
 	}
 	return pressure
 }
@@ -88,14 +89,14 @@
 // Reports returns the reports to send with an answer, the highest pressure first.
 func (p *Pressures) Reports(now time.Time) []PressureReport {
 	var reports []PressureReport
-	for service, m := range p.samples {
-		if m.pressure < minReportedPressure || now.Sub(m.at) >= pressureFresh {
+	for service, sample := range p.samples {
+		if sample.pressure < minReportedPressure || now.Sub(sample.at) >= pressureTTL {
 			continue
 		}
-		if len(reports) == maxReports && m.pressure <= reports[maxReports-1].Pressure {
+		if len(reports) == maxReports && sample.pressure <= reports[maxReports-1].Pressure {
 			continue
 		}
-		reports = append(reports[:min(len(reports), maxReports-1)], PressureReport{Service: service, Pressure: m.pressure, Age: now.Sub(m.at)})
+		reports = append(reports[:min(len(reports), maxReports-1)], PressureReport{Service: service, Pressure: sample.pressure, Age: now.Sub(sample.at)})
 		slices.SortFunc(reports, func(a, b PressureReport) int { return cmp.Compare(b.Pressure, a.Pressure) })
 	}
 	return reports
@@ -104,9 +105,9 @@
 // Fresh returns the pressure of each service with an unexpired report.
 func (p *Pressures) Fresh(now time.Time) map[string]float64 {
 	fresh := map[string]float64{}
-	for service, m := range p.samples {
-		if now.Sub(m.at) < pressureFresh {
-			fresh[service] = m.pressure
+	for service, sample := range p.samples {
+		if now.Sub(sample.at) < pressureTTL {
+			fresh[service] = sample.pressure
 		}
 	}
 	return fresh
@@ -119,9 +120,9 @@
 
 // current returns the pressure of a service, or 0 if there is no unexpired report of it.
 func (p *Pressures) current(now time.Time, service string) float64 {
-	m := p.samples[service]
-	if now.Sub(m.at) >= pressureFresh {
+	sample := p.samples[service]
+	if now.Sub(sample.at) >= pressureTTL {
 		return 0
 	}
-	return m.pressure
+	return sample.pressure
 }
--- a/internal/admit/pressure_test.go
+++ b/internal/admit/pressure_test.go
@@ -11,7 +11,7 @@
 )
 
 // The latest measurement applies, in whatever order reports arrive, and for one second.
-func TestNewestPressureCounts(t *testing.T) {
+func TestPressuresKeepNewestReport(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	p := admit.NewPressures()
@@ -29,7 +29,7 @@
 
 // The downstream services of a kind stay known through a surge in which hardly any of its
 // requests are admitted.
-func TestWhereAKindLeadsOutlastsASurge(t *testing.T) {
+func TestDownstreamServicesOutlastSurge(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	p := admit.NewPressures()
@@ -41,7 +41,7 @@
 
 // Only services under pressure are reported, the highest pressure first, and at most four,
 // so that an answer stays small whatever the number of services.
-func TestWhatIsPassedOn(t *testing.T) {
+func TestReportsListHighestPressures(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	p := admit.NewPressures()
@@ -56,8 +56,9 @@
 	is.Equal(len(p.Reports(now.Add(time.Second))), 0)
 }
 
-// BenchmarkTold measures the cost per answer at a node with reports of 54 busy services.
-func BenchmarkTold(b *testing.B) {
+// BenchmarkPressureReports measures the cost per answer at a node with reports of 54 busy
+// services.
+func BenchmarkPressureReports(b *testing.B) {
 	now := time.Unix(1_800_000_000, 0)
 	p := admit.NewPressures()
 	for i := range 54 {
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -25,9 +25,9 @@
 	return len(q.calls)
 }
 
-func (q *queue) insert(w queuedCall) {
-	at := sort.Search(len(q.calls), func(i int) bool { return q.calls[i].order < w.order })
-	q.calls = slices.Insert(q.calls, at, w)
+func (q *queue) insert(c queuedCall) {
+	at := sort.Search(len(q.calls), func(i int) bool { return q.calls[i].order < c.order })
+	q.calls = slices.Insert(q.calls, at, c)
 }
 
 // medianOrder returns the median order. The queue must not be empty.
@@ -36,19 +36,19 @@
 }
 
 func (q *queue) takeHighest() queuedCall {
-	w := q.calls[0]
+	c := q.calls[0]
 	q.calls = slices.Delete(q.calls, 0, 1)
-	return w
+	return c
 }
 
 func (q *queue) takeLowest() queuedCall {
 	last := len(q.calls) - 1
-	w := q.calls[last]
+	c := q.calls[last]
 	q.calls = slices.Delete(q.calls, last, last+1)
-	return w
+	return c
 }
 
 // remove removes the calls for which drop returns true.
-func (q *queue) remove(drop func(w queuedCall) bool) {
+func (q *queue) remove(drop func(c queuedCall) bool) {
 	q.calls = slices.DeleteFunc(q.calls, drop)
 }
--- a/internal/admit/resize_test.go
+++ b/internal/admit/resize_test.go
@@ -9,7 +9,7 @@
 
 // A node creates its gate before it has a configuration. A limit scaled up from zero
 // slots would stay at one call in flight for ever.
-func TestResizeFromNoSlotsGivesTheDeclaredLimit(t *testing.T) {
+func TestResizeFromZeroSlotsUsesDeclaredLimit(t *testing.T) {
 	is := is.New(t)
 	started := time.Unix(1000, 0)
 	g := NewGate(Settings{Started: started})
@@ -17,7 +17,8 @@
 	is.Equal(g.Load(started).Limit, 120)
 }
 
-func TestResizeKeepsTheShareThatTheTargetTakes(t *testing.T) {
+// A limit that was cut to a share of the slots stays at this share of the new slots.
+func TestResizeScalesLimit(t *testing.T) {
 	is := is.New(t)
 	started := time.Unix(1000, 0)
 	g := NewGate(Settings{Slots: 100, Started: started})
--- a/internal/admit/throttle.go
+++ b/internal/admit/throttle.go
@@ -18,8 +18,8 @@
 	// minEnds is how many ends, after decay, are needed to judge whether a kind fails.
 	minEnds = 3.0
 	// keptEnds is the count of ends below which the counts of a kind do not decay as
-	// long as its last end is younger than keptEndsFor. This is for nodes that see few
-	// requests of a kind.
+	// long as its last end is younger than keptEndsFor, so that nodes with few requests
+	// of a kind can judge it too.
 	keptEnds    = 6.0
 	keptEndsFor = 5 * time.Second
 	// maxFailureShare is the share of failed requests above which a kind counts as
@@ -28,8 +28,8 @@
 	// downstreamFailureFor is how long a kind counts as calling a downstream bottleneck
 	// after it failed.
 	downstreamFailureFor = 5 * time.Second
-	// pressureFresh is how long a reported pressure is used.
-	pressureFresh = time.Second
+	// pressureTTL is how long a reported pressure is used.
+	pressureTTL = time.Second
 	// fullPressure is the pressure above which a service counts as full, and
 	// sparePressure the pressure below which it has spare capacity. In between, the
 	// shares stay as they are.
@@ -49,7 +49,8 @@
 	// spareGain is the part of the spare capacity that is given to a kind in one period,
 	// as a share of all its requests.
 	spareGain = 0.15
-	// minShare is the share always admitted, so that the state of the services shows.
+	// minShare is the share that is always admitted, so that the answers show when
+	// the services have recovered.
 	minShare = 0.03
 )
 
@@ -106,13 +107,13 @@
 const (
 	// Succeeded means that the request was answered.
 	Succeeded RequestEnd = iota
-	// LoadFailure means that it failed in a way that overload can cause, at the kind's own
-	// service or downstream.
+	// LoadFailure means that the request failed in a way that overload can cause, at the
+	// kind's own service or downstream.
 	LoadFailure
-	// OwnServiceFull means that the kind's own service rejected it for lack of capacity, which
-	// says nothing about the services downstream.
+	// OwnServiceFull means that the kind's own service rejected the request for lack of
+	// capacity, which says nothing about the services downstream.
 	OwnServiceFull
-	// Unrelated means that it ended in a way that says nothing about load.
+	// Unrelated means that the request ended in a way that says nothing about load.
 	Unrelated
 )
 
@@ -265,12 +266,12 @@
 }
 
 // effectivePressure returns the pressure by which the share of a kind is set: that of its
-// own service if its requests fail, or that of the services downstream if it is higher
-// and requests have recently failed there. A kind whose requests succeed, because they
-// take precedence in the queues, has none, as admitting fewer of them would not relieve
-// other kinds.
+// own service if its requests fail, or that of the services downstream if this is higher
+// and requests of the kind have recently failed there. It is 0 for a kind whose requests
+// succeed because they take precedence in the queues: admitting fewer of them would not
+// relieve other kinds.
 func (k *kindState) effectivePressure(now time.Time) float64 {
-	if now.Sub(k.pressureAt) >= pressureFresh {
+	if now.Sub(k.pressureAt) >= pressureTTL {
 		return 0
 	}
 	effective := 0.0
--- a/internal/admit/throttle_test.go
+++ b/internal/admit/throttle_test.go
@@ -65,7 +65,7 @@
 		offered   float64
 		offeredAt time.Duration
 		random    *rand.Rand
-		asked     int
+		arrived   int
 		now       time.Duration
 		events    eventHeap
 		busy      int
@@ -96,8 +96,8 @@
 
 	// tally counts requests by the second of their arrival.
 	tally struct {
-		asked [60]int
-		good  [60]int
+		arrived   [60]int
+		succeeded [60]int
 	}
 
 	meshEvent struct {
@@ -114,7 +114,7 @@
 	meshQueueWait = 250 * time.Millisecond
 	meshQueue     = 120
 	kneeFrom      = 0.95
-	// Equal to the gate's constants, see offer.go.
+	// These equal loadTimeConstant and queueDrainTime of the gate, see load.go.
 	meshLoadTimeConstant = 400 * time.Millisecond
 	meshQueueDrainTime   = 300 * time.Millisecond
 )
@@ -195,11 +195,11 @@
 func (m *mesh) time() time.Time { return meshStart.Add(m.now) }
 
 func (m *mesh) issue(kind *meshKind) {
-	m.served[kind.name].asked[int(m.now.Seconds())]++
+	m.served[kind.name].arrived[int(m.now.Seconds())]++
 	r := &meshRequest{kind: kind, began: m.now}
 	if len(m.nodes) > 0 {
-		r.node = m.nodes[m.asked%len(m.nodes)]
-		m.asked++
+		r.node = m.nodes[m.arrived%len(m.nodes)]
+		m.arrived++
 		if !m.allow(r) {
 			return
 		}
@@ -239,7 +239,7 @@
 // offer handles the arrival of a call at the scheduler.
 func (m *mesh) offer(c *meshCall) {
 	r := c.request
-	m.fadeOffered()
+	m.decayOffered()
 	m.offered += m.callTime.Seconds() / meshLoadTimeConstant.Seconds()
 	switch {
 	case m.busy < m.slots:
@@ -255,14 +255,14 @@
 	}
 }
 
-func (m *mesh) fadeOffered() {
+func (m *mesh) decayOffered() {
 	m.offered *= math.Exp(-(m.now - m.offeredAt).Seconds() / meshLoadTimeConstant.Seconds())
 	m.offeredAt = m.now
 }
 
 // pressure returns the pressure that the gates of the scheduler's targets report.
 func (m *mesh) pressure() float64 {
-	m.fadeOffered()
+	m.decayOffered()
 	drain := float64(len(m.queue)) * m.callTime.Seconds() / meshQueueDrainTime.Seconds()
 	return (m.offered + drain) / float64(m.slots)
 }
@@ -272,7 +272,7 @@
 	if r.lanesDone < r.kind.lanes() {
 		return
 	}
-	m.served[r.kind.name].good[int(r.began.Seconds())]++
+	m.served[r.kind.name].succeeded[int(r.began.Seconds())]++
 	m.end(r, admit.Succeeded)
 }
 
@@ -332,20 +332,21 @@
 	})
 }
 
-// share returns the share of a kind's requests that succeeded, by second of arrival.
+// share returns the share of a kind's requests arriving in the seconds [from, until) that
+// succeeded.
 func (m *mesh) share(kind string, from, until int) float64 {
-	asked, good := 0, 0
+	arrived, succeeded := 0, 0
 	for second := from; second < until; second++ {
-		asked += m.served[kind].asked[second]
-		good += m.served[kind].good[second]
+		arrived += m.served[kind].arrived[second]
+		succeeded += m.served[kind].succeeded[second]
 	}
-	return float64(good) / float64(max(asked, 1))
+	return float64(succeeded) / float64(max(arrived, 1))
 }
 
 // A surge of 1.8 offers the scheduler 1.35 times its capacity. Without a throttle, every
 // kind that calls the scheduler fails alike, and the work done for failed requests is
 // wasted.
-func TestSurgeIsHeldBackInOrder(t *testing.T) {
+func TestThrottleCutsLeastImportantFirst(t *testing.T) {
 	is := is.New(t)
 	pattern := []surge{{from: 5 * time.Second, until: 20 * time.Second, times: 1.8}}
 	naive, throttled := newMesh(0), newMesh(1)
@@ -368,7 +369,7 @@
 
 // With reports of the pressure that are half a second old, as they are when sent up a
 // chain with the answers, the shares must neither oscillate nor leave slots free.
-func TestLateNewsOfPressure(t *testing.T) {
+func TestThrottleWithDelayedReports(t *testing.T) {
 	for _, times := range []float64{1.8, 2.5} {
 		t.Run(fmt.Sprint(times), func(t *testing.T) {
 			is := is.New(t)
@@ -388,7 +389,7 @@
 // Bookings call the scheduler directly and are served ahead of the calls of targets. They
 // succeed, so rejecting them would not relieve other kinds, even while there are hardly
 // any look-ups left to reject.
-func TestWhatDoesWellIsLetIn(t *testing.T) {
+func TestThrottleAdmitsSucceedingKind(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(1)
 	m.kinds[1].perSecond = 350 // orders alone ask for two thirds of the scheduler
@@ -404,7 +405,7 @@
 
 // If the scheduler sheds half of its calls without overload, admitting fewer requests does
 // not help, and requests must succeed again as soon as the shedding ends.
-func TestFailuresWithoutPressureHoldNothingBack(t *testing.T) {
+func TestThrottleIgnoresFailuresWithoutPressure(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(1)
 	m.shedShare = 0.5
@@ -418,7 +419,7 @@
 // Three of the scheduler's four targets are lost, and requests enter through thirteen
 // nodes, each of which sees few requests of a kind end. The remaining capacity suffices
 // for the collections and seven tenths of the renewals.
-func TestFewEndsAtEachNode(t *testing.T) {
+func TestThrottleWithFewEndsPerNode(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(13)
 	m.kinds = []meshKind{
@@ -440,7 +441,7 @@
 	is.True(goodput >= 0.8*35/0.057)
 }
 
-func TestStalePressureCountsNoMore(t *testing.T) {
+func TestThrottleIgnoresStalePressure(t *testing.T) {
 	is := is.New(t)
 	throttle := admit.NewThrottle()
 	now := meshStart
@@ -472,47 +473,48 @@
 	return &throttleFixture{throttle: admit.NewThrottle(), now: time.Unix(1_800_000_000, 0)}
 }
 
-// runFor simulates a duration under a pressure in which all admitted requests end alike.
-func (p *throttleFixture) runFor(d time.Duration, pressure admit.Pressure, end admit.RequestEnd) {
-	for until := p.now.Add(d); p.now.Before(until); p.now = p.now.Add(20 * time.Millisecond) {
-		p.throttle.SetPressure(p.now, "look-up", pressure)
-		if p.throttle.Allow(p.now, "look-up", schema.Low, 0) {
-			p.throttle.RecordEnd(p.now, "look-up", end)
+// runFor simulates a duration with constant pressure and the same end of all admitted
+// requests.
+func (f *throttleFixture) runFor(d time.Duration, pressure admit.Pressure, end admit.RequestEnd) {
+	for until := f.now.Add(d); f.now.Before(until); f.now = f.now.Add(20 * time.Millisecond) {
+		f.throttle.SetPressure(f.now, "look-up", pressure)
+		if f.throttle.Allow(f.now, "look-up", schema.Low, 0) {
+			f.throttle.RecordEnd(f.now, "look-up", end)
 		}
 	}
 }
 
-func (p *throttleFixture) share() float64 {
-	return p.throttle.Share("look-up")
+func (f *throttleFixture) share() float64 {
+	return f.throttle.Share("look-up")
 }
 
 // A kind may be rejected because calls of other kinds occupy its own service's slots while
 // they wait for a full service downstream. Once those calls are gone, the kind must be
 // admitted again, although the downstream service is still full.
-func TestVictimOfAFullServiceBelowIsLetInAgain(t *testing.T) {
+func TestThrottleReadmitsKindBlockedByOthers(t *testing.T) {
 	is := is.New(t)
-	one := newThrottleFixture()
-	one.runFor(time.Second, admit.Pressure{Own: 0.5, Downstream: 1.5}, admit.Succeeded)
-	one.runFor(2*time.Second, admit.Pressure{Own: 1.3, Downstream: 1.5}, admit.OwnServiceFull)
-	is.True(one.share() < 0.5) // its own service is full
-	one.runFor(3*time.Second, admit.Pressure{Own: 0.8, Downstream: 1.5}, admit.Succeeded)
-	is.True(one.share() > 0.9)
-
-	one.runFor(2*time.Second, admit.Pressure{Own: 0.8, Downstream: 1.5}, admit.LoadFailure)
-	is.True(one.share() < 0.5) // now the kind itself meets the bottleneck
+	f := newThrottleFixture()
+	f.runFor(time.Second, admit.Pressure{Own: 0.5, Downstream: 1.5}, admit.Succeeded)
+	f.runFor(2*time.Second, admit.Pressure{Own: 1.3, Downstream: 1.5}, admit.OwnServiceFull)
+	is.True(f.share() < 0.5) // its own service is full
+	f.runFor(3*time.Second, admit.Pressure{Own: 0.8, Downstream: 1.5}, admit.Succeeded)
+	is.True(f.share() > 0.9)
+
+	f.runFor(2*time.Second, admit.Pressure{Own: 0.8, Downstream: 1.5}, admit.LoadFailure)
+	is.True(f.share() < 0.5) // now the kind itself meets the bottleneck
 }
 
 // A kind that was cut sharply at the start of a surge must take up the spare capacity soon
 // after: if more important kinds leave a fifth of the service free, its share rises from
 // below a tenth to a quarter within two seconds.
-func TestCutKindTakesUpSpareCapacity(t *testing.T) {
+func TestThrottleRestoresCutKind(t *testing.T) {
 	is := is.New(t)
-	one := newThrottleFixture()
-	one.runFor(time.Second, admit.Pressure{Downstream: 0.5}, admit.Succeeded)
-	one.runFor(2*time.Second, admit.Pressure{Downstream: 2.5}, admit.LoadFailure)
-	cut := one.share()
+	f := newThrottleFixture()
+	f.runFor(time.Second, admit.Pressure{Downstream: 0.5}, admit.Succeeded)
+	f.runFor(2*time.Second, admit.Pressure{Downstream: 2.5}, admit.LoadFailure)
+	cut := f.share()
 	is.True(cut < 0.1)
-	one.runFor(2*time.Second, admit.Pressure{Downstream: 0.8}, admit.Succeeded)
-	t.Logf("%.2f after the cut, %.2f two seconds later", cut, one.share())
-	is.True(one.share() >= 0.25)
+	f.runFor(2*time.Second, admit.Pressure{Downstream: 0.8}, admit.Succeeded)
+	t.Logf("%.2f after the cut, %.2f two seconds later", cut, f.share())
+	is.True(f.share() >= 0.25)
 }
