--- a/internal/entry/below_test.go
+++ b/internal/entry/downstream_test.go
@@ -20,16 +20,16 @@
 
 const failedAnswers = 10
 
-// failingTarget answers each call with a failure and the given headers. If below is set, a
-// call that it made itself was refused before.
+// failingTarget answers each call with a failure and the given headers. If childRefused is
+// set, a call that the target made itself was refused before.
 type failingTarget struct {
-	server *local.Server
-	header http.Header
-	below  bool
+	server       *local.Server
+	header       http.Header
+	childRefused bool
 }
 
 func (f *failingTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if serving, ok := f.server.Serving(r.Header.Get(local.ContextHeader)); ok && f.below {
+	if serving, ok := f.server.Serving(r.Header.Get(local.ContextHeader)); ok && f.childRefused {
 		serving.ChildSent()
 		serving.ChildEnded(result.Overloaded, schema.Safe)
 	}
@@ -42,14 +42,14 @@
 // A target is ejected for its own failures, but not for those caused by calls that it
 // made. The headers of its answers cannot make one look like the other: they are passed
 // on without being interpreted.
-func TestFailureBelowDoesNotEject(t *testing.T) {
+func TestDownstreamFailureDoesNotEject(t *testing.T) {
 	target := &failingTarget{}
 	served := httptest.NewServer(target)
 	t.Cleanup(served.Close)
 	target.server = newServer(served.URL)
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
-		target.below = rapid.Bool().Draw(t, "below")
+		target.childRefused = rapid.Bool().Draw(t, "below")
 		target.header = drawHeader(t)
 		s, c := newLocalSender(nil), order()
 		node := route.Target{Name: "node", Incarnation: s.Self}
@@ -64,7 +64,7 @@
 				is.Equal(answer.Header[name], values)
 			}
 		}
-		is.Equal(s.Targets(c.Kind.Service)[0].EjectedUntil.IsZero(), target.below)
+		is.Equal(s.Targets(c.Kind.Service)[0].EjectedUntil.IsZero(), target.childRefused)
 	})
 }
 
@@ -84,7 +84,7 @@
 }
 
 // An attempt that the caller cancels is not counted against the target.
-func TestCallerThatLeftIsBlameless(t *testing.T) {
+func TestCancelledAttemptIsBlameless(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/entry/onward.go
+++ b/internal/entry/elsewhere.go
@@ -7,9 +7,9 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// SendElsewhere sends a call to other targets after the one beside this node refused it with the
-// code. Each attempt counts as a retry, except for the first after a stopped target, to
-// which nothing was sent.
+// SendElsewhere sends a call to other targets after the one beside this node refused it with
+// the code. Each attempt counts as a retry, except for the first one if the target beside
+// this node has stopped, since nothing was sent to that target.
 func (s *Sender) SendElsewhere(ctx context.Context, c *call.Call, refused result.Code) *call.Answer {
 	state := &sendState{sender: s, call: c, tried: map[string]bool{s.localTargetName(c): true}}
 	answer := call.Refuse(refused, "")
--- a/internal/entry/onward_test.go
+++ b/internal/entry/elsewhere_test.go
@@ -10,9 +10,9 @@
 	"github.com/dandelionfield/dandelionfield/pkg/result"
 )
 
-// Onward sends a call to a target other than the one beside this node. The next attempt is
-// a retry and costs a token, unless the target beside this node was stopped.
-func TestOnwardTakesAnotherTargetAndPaysForRepeats(t *testing.T) {
+// SendElsewhere sends a call to a target other than the one beside this node. Its first
+// attempt is a retry and costs a token, unless the target beside this node has stopped.
+func TestSendElsewhereChargesRetries(t *testing.T) {
 	for _, test := range []struct {
 		refused result.Code
 		tokens  int
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -37,8 +37,8 @@
 	Metrics    *metric.Set
 	Log        hclog.Logger
 	Client     *relay.Client
-	// Self is the incarnation of this node. Beside runs an attempt at the target beside
-	// this node, and returns nil when the context ends first.
+	// Self is the incarnation of this node. RunLocal runs an attempt at the target beside
+	// this node, and returns nil if the context ends first.
 	Self     string
 	RunLocal func(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse
 	Route    route.Settings
@@ -69,7 +69,7 @@
 	throttle  *admit.Throttle
 	pressures *admit.Pressures
 	// nestedKinds holds the kinds of which nearly all calls come from targets, as answers
-	// reported. Calls of these kinds sent through this node came from the target beside it.
+	// report. Calls of these kinds that pass this node are made by the target beside it.
 	nestedKinds map[string]nestedKind
 	// pressureSentAt is when an answer to each kind last carried the pressure of services.
 	pressureSentAt map[string]time.Time
@@ -79,8 +79,8 @@
 type service struct {
 	table     *route.Table
 	allowance *budget.Allowance
-	// retryDeniedAt is when a node last refused a retry because the shared budget was
-	// retryDeniedAt: first for requests of callers, second for calls that targets make.
+	// retryDeniedAt holds when a node last refused a retry because the shared budget was
+	// spent: at index 0 for requests of callers, at index 1 for calls that targets make.
 	retryDeniedAt [2]time.Time
 	// share is the declared retry share that the allowance was created with.
 	share   float64
@@ -100,9 +100,9 @@
 )
 
 // Init creates the sender's internal state. It must be called before any other method.
-func (s *Sender) Init(door *admit.EntryGate) {
+func (s *Sender) Init(entryGate *admit.EntryGate) {
 	s.services = map[string]*service{}
-	s.floors = door
+	s.floors = entryGate
 	s.throttle = admit.NewThrottle()
 	s.pressures = admit.NewPressures()
 	s.nestedKinds = map[string]nestedKind{}
@@ -180,14 +180,14 @@
 }
 
 // Levels returns the known floors of the services, to be passed on with an answer. It
-// leaves out the floors of the node named by without, which adds its own, newer ones.
-func (s *Sender) Levels(now time.Time, services []string, without string) []*relaypb.Level {
+// leaves out the floors of the node named by exclude, which adds its own, newer ones.
+func (s *Sender) Levels(now time.Time, services []string, exclude string) []*relaypb.Level {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	floors := s.floors.LevelsOf(now, services)
 	levels := make([]*relaypb.Level, 0, len(floors)+1)
 	for _, floor := range floors {
-		if floor.Node == without {
+		if floor.Node == exclude {
 			continue
 		}
 		levels = append(levels, &relaypb.Level{
--- a/internal/entry/probe_test.go
+++ b/internal/entry/fate_test.go
@@ -57,7 +57,7 @@
 // The first fate query for a call that is safe to retry only checks whether the node is
 // alive. For a call that may run only once, such a probe is of no use, since it has no
 // other target.
-func TestFirstQuestionIsShortWhereAnotherTargetMayServe(t *testing.T) {
+func TestFirstFateQueryTimeout(t *testing.T) {
 	for _, test := range []struct {
 		repeat        schema.Repeat
 		wait, maxLeft time.Duration
@@ -82,7 +82,7 @@
 			b.sender.Update(c.Kind.Service, []route.Target{{Name: "node", Incarnation: "inc-1", Address: proxied.listener.Addr().String()}})
 			go func() {
 				<-node.began
-				proxied.dropData(func(s *dropFlags) { s.toServer.Store(true); s.toClient.Store(true) })
+				proxied.dropData(func(f *dropFlags) { f.toServer.Store(true); f.toClient.Store(true) })
 			}()
 			answer := b.send(c)
 			is.Equal(answer.Code, result.OK)
--- a/internal/entry/kinds.go
+++ b/internal/entry/kinds.go
@@ -19,7 +19,7 @@
 	return s.throttle.Shares()
 }
 
-// RetainKinds drops the state of kinds that are not declared.
+// RetainKinds discards the state of kinds that are no longer declared.
 func (s *Sender) RetainKinds(declared func(kind string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/entry/levels_test.go
+++ b/internal/entry/levels_test.go
@@ -16,7 +16,7 @@
 // An answer carries the floors of the services further down the call chain, by which the
 // next request is refused at its entry. The floors are passed on with their age, except
 // that of the node which adds its own.
-func TestAnswersBringTheFloorsOfTheChain(t *testing.T) {
+func TestSenderPassesOnFloors(t *testing.T) {
 	is := is.New(t)
 	clock := &fakeClock{now: time.Now()}
 	s := newLocalSender(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
--- a/internal/entry/near_test.go
+++ b/internal/entry/local_test.go
@@ -39,7 +39,7 @@
 
 // newLocalSender returns a sender whose only target is beside it. The target's address
 // has no listener.
-func newLocalSender(beside func(request *relaypb.CarryRequest) *relaypb.CarryResponse) *Sender {
+func newLocalSender(runLocal func(request *relaypb.CarryRequest) *relaypb.CarryResponse) *Sender {
 	s := &Sender{
 		Clock:   &fakeClock{now: time.Now()},
 		Metrics: metric.New(),
@@ -47,7 +47,7 @@
 		Client:  relay.NewClient(),
 		Self:    localIncarnation,
 		RunLocal: func(_ context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
-			return beside(request)
+			return runLocal(request)
 		},
 		Route:       route.Settings{Random: func() float64 { return 0 }},
 		Backoff:     budget.Backoff{Base: time.Millisecond, Max: time.Millisecond, Random: func() float64 { return 0 }},
@@ -60,7 +60,7 @@
 }
 
 // An entry node that chooses the target beside it calls this target without a socket.
-func TestTargetOfTheOwnHostIsCalledDirectly(t *testing.T) {
+func TestLocalTargetIsCalledDirectly(t *testing.T) {
 	is := is.New(t)
 	s := newLocalSender(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
 		return &relaypb.CarryResponse{AttemptId: request.AttemptId, Code: uint32(result.OK)}
@@ -68,8 +68,8 @@
 	is.Equal(s.Send(context.Background(), order()).Code, result.OK)
 }
 
-// Whether an attempt ran is unknown once the caller cancels while the node waits for it.
-func TestOwnTargetThatIsGivenUpIsUnknown(t *testing.T) {
+// If the caller cancels while the attempt is at the local target, the attempt may have run.
+func TestCancelledLocalAttemptIsUnknown(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	s := newLocalSender(func(*relaypb.CarryRequest) *relaypb.CarryResponse {
@@ -89,12 +89,12 @@
 
 // Tokens that an attempt did not spend come back with its own answer only, and never more
 // than were lent.
-func TestTokensTravelWithAnAttempt(t *testing.T) {
+func TestAttemptReturnsUnspentTokens(t *testing.T) {
 	for _, test := range []tokenCase{
-		{"all come back", answerOf(3, ""), 5},
-		{"one was spent", answerOf(2, ""), 4},
-		{"too many", answerOf(9, ""), 5},
-		{"the answer is foreign", answerOf(3, "foreign"), 2},
+		{"none spent", answerOf(3, ""), 5},
+		{"one spent", answerOf(2, ""), 4},
+		{"more than lent", answerOf(9, ""), 5},
+		{"answer to another attempt", answerOf(3, "foreign"), 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
@@ -113,7 +113,7 @@
 }
 
 // A retry costs a token, and lends from those that are left.
-func TestRepeatsEndWithTheTokens(t *testing.T) {
+func TestRetriesEndWhenTokensRunOut(t *testing.T) {
 	is := is.New(t)
 	var lent []uint32
 	s := newLocalSender(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
--- a/internal/entry/outcome_test.go
+++ b/internal/entry/outcome_test.go
@@ -17,7 +17,7 @@
 
 // A target whose address another process has taken over is ejected, and the load that this
 // process reports is not recorded for the target.
-func TestTargetThatWasReplacedIsEjected(t *testing.T) {
+func TestReplacedTargetIsEjected(t *testing.T) {
 	is := is.New(t)
 	s := &Sender{Clock: clock.System{}, Metrics: metric.New(), RetryShare: func(string) float64 { return 0.1 }}
 	s.Route.Random = func() float64 { return 0.5 }
--- a/internal/entry/owner_test.go
+++ b/internal/entry/owner_test.go
@@ -20,21 +20,21 @@
 	name     string
 	owner    string
 	covered  bool
-	settling bool
-	// answer is the code returned by the node that is asked, 0 if none is.
+	changing bool
+	// answer is the code that the owner's node returns, or 0 if no node is asked.
 	answer result.Code
 	want   result.Code
 }
 
 // OwnerGone is returned only for an owner that the plan names and that is not being
-// replaced. In all other cases the view may change in a moment.
-func TestOwnerIsGoneOnlyWhereThePlanNamesIt(t *testing.T) {
+// replaced. In all other cases a later view may name another owner.
+func TestOwnerGoneRequiresPlan(t *testing.T) {
 	for _, view := range []ownerView{
 		{name: "named and gone", covered: true, want: result.OwnerGone},
 		{name: "no plan covers the key", want: result.OwnerUnclear},
-		{name: "being replaced", covered: true, settling: true, want: result.OwnerUnclear},
+		{name: "being replaced", covered: true, changing: true, want: result.OwnerUnclear},
 		{name: "known but no target", owner: "elsewhere", covered: true, want: result.OwnerUnclear},
-		{name: "asked, and not the owner", owner: localIncarnation, covered: true, answer: result.OwnerGone, want: result.OwnerUnclear},
+		{name: "asked node is not the owner", owner: localIncarnation, covered: true, answer: result.OwnerGone, want: result.OwnerUnclear},
 	} {
 		t.Run(view.name, func(t *testing.T) {
 			is := is.New(t)
@@ -48,7 +48,7 @@
 				return view.owner, result.OK
 			}
 			s.PlanCovers = func(string, once.Key) bool { return view.covered }
-			s.OwnerChanging = func(string, once.Key) bool { return view.settling }
+			s.OwnerChanging = func(string, once.Key) bool { return view.changing }
 			c := order()
 			c.Key = once.Mint(time.Now()).Text
 			c.Tokens = call.NewTokens(0)
--- a/internal/entry/pressure_test.go
+++ b/internal/entry/pressure_test.go
@@ -14,7 +14,7 @@
 // An answer carries the pressure of services. The node passes the pressure on with its age
 // and marks as below only the services that its own target calls or that these calls lead
 // to, not others that an answer happens to mention.
-func TestAnswersBringThePressureOfServices(t *testing.T) {
+func TestSenderPassesOnPressure(t *testing.T) {
 	for _, inner := range []bool{false, true} {
 		is := is.New(t)
 		clock := &fakeClock{now: time.Now()}
@@ -53,7 +53,7 @@
 
 // If the only target with a recent report is leaving, its load says nothing about the
 // targets that stay, so the pressure reported by others remains in force.
-func TestAnswerOfALeavingTargetKeepsThePressureThatOthersTold(t *testing.T) {
+func TestLeavingTargetKeepsReportedPressure(t *testing.T) {
 	is := is.New(t)
 	s := newLocalSender(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
 		return &relaypb.CarryResponse{
@@ -72,7 +72,7 @@
 }
 
 // The metrics show recent values and no stale ones.
-func TestMetricsShowFreshPressures(t *testing.T) {
+func TestMetricsOmitStalePressures(t *testing.T) {
 	is := is.New(t)
 	clock := &fakeClock{now: time.Now()}
 	s := newLocalSender(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -34,9 +34,9 @@
 	// beforeRetry is the answer that led to the last retry.
 	beforeRetry *call.Answer
 	// earlier is how far any of the earlier attempts got.
-	earlier relaypb.Earlier
-	retries int
-	moves   int
+	earlier   relaypb.Earlier
+	retries   int
+	redirects int
 }
 
 const (
@@ -54,9 +54,9 @@
 	maxOwnerLookups = 15
 	// maxShedRetries is how often a call is retried after a target shed it.
 	maxShedRetries = 4
-	// maxMoves is how often a call goes to another target because it did not reach the
-	// one before.
-	maxMoves = 3
+	// maxRedirects is how often a call goes to another target because it was not passed to
+	// the one before.
+	maxRedirects = 3
 	// pollInterval is the pause between two fate queries or two owner lookups.
 	pollInterval = 100 * time.Millisecond
 )
@@ -133,7 +133,7 @@
 func (s *sendState) prepareRetryShared(ctx context.Context, answer *call.Answer) bool {
 	code := answer.Code
 	if unsent(code) {
-		return s.move()
+		return s.redirect()
 	}
 	shed := code == result.TargetShed
 	if shed && s.retries >= maxShedRetries {
@@ -182,12 +182,12 @@
 	return s.sender.Backoff.Delay(1)
 }
 
-// move reports whether the call may go to another target at once because it did not reach
-// the last one. A move is no retry, since nothing was sent to a target, but moves are
-// bounded because each costs the nodes a message.
-func (s *sendState) move() bool {
-	s.moves++
-	if s.moves > maxMoves {
+// redirect reports whether the call may go to another target at once because it was not
+// passed to the last one. A redirect is no retry, since nothing was sent to a target, but
+// redirects are bounded because each costs the nodes a message.
+func (s *sendState) redirect() bool {
+	s.redirects++
+	if s.redirects > maxRedirects {
 		return false
 	}
 	s.sender.Metrics.Redirects.WithLabelValues(s.call.Kind.Service).Inc()
@@ -229,8 +229,8 @@
 }
 
 // awaitNewOwner reports whether the key has a live owner other than the one tried last. It
-// waits up to maxOwnerLookups times pollInterval for a replacement that is under way. An
-// owner runs a key only if no other owner may, so sending the key to the owner in a newer
+// waits up to maxOwnerLookups times pollInterval while the owner is being replaced. An owner
+// runs a key only if no other owner may, so sending the key to the owner in a newer
 // plan is safe whatever became of the earlier attempt.
 func (s *sendState) awaitNewOwner(ctx context.Context) bool {
 	key, err := once.ParseKey(s.call.Key)
--- a/internal/entry/shared_test.go
+++ b/internal/entry/shared_test.go
@@ -16,11 +16,11 @@
 // A retry that the node beside the target refuses for the shared budget did not take
 // place: the answer before it goes to the caller, and the next call asks for no retry so
 // soon after.
-func TestRefusedRepeatLeavesTheAnswerBeforeIt(t *testing.T) {
+func TestDeniedRetryReturnsPreviousAnswer(t *testing.T) {
 	is := is.New(t)
-	var asked []relaypb.Earlier
+	var earlier []relaypb.Earlier
 	s := newLocalSender(func(request *relaypb.CarryRequest) *relaypb.CarryResponse {
-		asked = append(asked, request.Earlier)
+		earlier = append(earlier, request.Earlier)
 		if request.Earlier != relaypb.Earlier_EARLIER_UNSPECIFIED {
 			return &relaypb.CarryResponse{AttemptId: request.AttemptId, Code: uint32(result.BudgetSpent)}
 		}
@@ -38,7 +38,7 @@
 		is.Equal(answer.Code, result.TargetShed)
 		is.Equal(string(answer.Body), "the target's own words")
 	}
-	is.Equal(asked, []relaypb.Earlier{
+	is.Equal(earlier, []relaypb.Earlier{
 		relaypb.Earlier_EARLIER_UNSPECIFIED, relaypb.Earlier_EARLIER_SHED, relaypb.Earlier_EARLIER_UNSPECIFIED,
 	})
 }
--- a/internal/entry/silent_test.go
+++ b/internal/entry/silent_test.go
@@ -34,13 +34,13 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// proxy forwards TCP connections. It can drop what flows over the open ones, in one
-// direction or both, while new connections work.
+// proxy forwards TCP connections. It can drop the data of the open ones, in one direction or
+// both, while new connections work.
 type proxy struct {
 	listener net.Listener
 	to       string
 	mu       sync.Mutex
-	links    []*dropFlags
+	flags    []*dropFlags // of each connection
 	// stall blocks all forwarding while it is locked. The proxy then acts like a paused
 	// node: connections open, but nothing is answered.
 	stall sync.RWMutex
@@ -51,6 +51,7 @@
 	toServer, toClient atomic.Bool
 }
 
+// relayStub serves the relay interface of a node beside a target.
 type relayStub struct {
 	relaypbconnect.UnimplementedRelayHandler
 	server *local.Server
@@ -67,13 +68,13 @@
 	runs    atomic.Int32
 }
 
-// A call whose connection goes silent after the target began it still returns its answer
-// and runs only once.
-func TestSilentConnectionLosesNothing(t *testing.T) {
-	for name, set := range map[string]func(s *dropFlags){
-		"toward": func(s *dropFlags) { s.toServer.Store(true) },
-		"back":   func(s *dropFlags) { s.toClient.Store(true) },
-		"both":   func(s *dropFlags) { s.toServer.Store(true); s.toClient.Store(true) },
+// If a connection goes silent after the target began a call, the call's answer still arrives
+// and the call runs only once.
+func TestSilentConnectionKeepsAnswer(t *testing.T) {
+	for name, set := range map[string]func(f *dropFlags){
+		"toward": func(f *dropFlags) { f.toServer.Store(true) },
+		"back":   func(f *dropFlags) { f.toClient.Store(true) },
+		"both":   func(f *dropFlags) { f.toServer.Store(true); f.toClient.Store(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -99,7 +100,7 @@
 	close(b.release)
 	is.Equal(b.send(order()).Code, result.OK)
 	<-b.began
-	b.proxy.dropData(func(s *dropFlags) { s.toServer.Store(true) })
+	b.proxy.dropData(func(f *dropFlags) { f.toServer.Store(true) })
 	c := order()
 	c.Tokens = call.NewTokens(0)
 	answer := b.send(c)
@@ -109,7 +110,7 @@
 
 // A paused node may resume before the deadline and then knows what became of the call. A
 // call that may run only once waits for this.
-func TestCallOutlastsAStandstillOfItsNode(t *testing.T) {
+func TestCallWaitsForPausedNode(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	b := newTestbed(t)
@@ -234,29 +235,29 @@
 
 func (p *proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", p.to)
+		server, err := net.Dial("tcp", p.to)
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
-		s := &dropFlags{}
+		f := &dropFlags{}
 		p.mu.Lock()
-		p.links = append(p.links, s)
+		p.flags = append(p.flags, f)
 		p.mu.Unlock()
-		go p.forward(far, near, &s.toServer)
-		go p.forward(near, far, &s.toClient)
+		go p.forward(server, client, &f.toServer)
+		go p.forward(client, server, &f.toClient)
 	}
 }
 
-func (p *proxy) dropData(set func(s *dropFlags)) {
+func (p *proxy) dropData(set func(f *dropFlags)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range p.links {
-		set(s)
+	for _, f := range p.flags {
+		set(f)
 	}
 }
 
--- a/internal/entry/unreached_test.go
+++ b/internal/entry/unreachable_test.go
@@ -14,7 +14,7 @@
 
 // Tokens lent with an attempt that reached no target are not lost, so a call with three
 // tokens still finds the one live target after three that are down.
-func TestUnreachedAttemptKeepsItsLoan(t *testing.T) {
+func TestUnreachableAttemptReturnsTokens(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t)
 	close(b.release)
@@ -40,7 +40,7 @@
 
 // Attempts that reached no target put no load on the service, so retries after them are not
 // charged to its allowance. Retries after refused attempts are.
-func TestUnreachedAttemptsLeaveTheAllowance(t *testing.T) {
+func TestUnreachableAttemptsDoNotChargeAllowance(t *testing.T) {
 	is := is.New(t)
 	b := newTestbed(t)
 	c := order()
