--- a/internal/route/choice.go
+++ b/internal/route/choice.go
@@ -9,7 +9,7 @@
 
 const (
 	// openTierPressure is the pressure of the open tiers at which the next one opens. It
-	// is above that of a service which is merely well used.
+	// is above the pressure of a service that is well used but not full.
 	openTierPressure = 0.9
 	// closeTierPressure is the pressure that the nearer tiers must stay below with the
 	// load of the farthest open tier added, so that this tier closes again.
@@ -32,19 +32,19 @@
 	}
 	byLocation := map[location][]*entry{}
 	for _, e := range t.entries {
-		p := location{distance: t.distance(e.target), dataCentre: e.target.DataCentre}
-		byLocation[p] = append(byLocation[p], e)
+		loc := location{distance: t.distance(e.target), dataCentre: e.target.DataCentre}
+		byLocation[loc] = append(byLocation[loc], e)
 	}
 	locations := make([]location, 0, len(byLocation))
-	for p := range byLocation {
-		locations = append(locations, p)
+	for loc := range byLocation {
+		locations = append(locations, loc)
 	}
 	slices.SortFunc(locations, func(a, b location) int {
 		return cmp.Or(cmp.Compare(a.distance, b.distance), strings.Compare(a.dataCentre, b.dataCentre))
 	})
 	t.tiers = nil
-	for _, p := range locations {
-		tier := byLocation[p]
+	for _, loc := range locations {
+		tier := byLocation[loc]
 		slices.SortFunc(tier, func(a, b *entry) int { return strings.Compare(a.target.Name, b.target.Name) })
 		t.tiers = append(t.tiers, tier)
 	}
--- a/internal/route/entry.go
+++ b/internal/route/entry.go
@@ -31,8 +31,9 @@
 	// rate must be below.
 	minPeerSuccess = 0.6
 	outlierRatio   = 0.5
-	// underperformRatio is the fraction of that mean below which a target's success rate
-	// makes others preferred. Three lost calls in a row bring a target there.
+	// underperformRatio is the fraction of the other targets' mean success rate below which
+	// a target's limit no longer counts as room for calls, so that farther targets are used
+	// as well. Three failed calls in a row bring a target below it.
 	underperformRatio = 0.75
 
 	firstEjection = 500 * time.Millisecond
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -75,13 +75,13 @@
 	end := sim.now.Add(length)
 	for sim.now.Before(end) {
 		sim.now = sim.now.Add(time.Duration(sim.random.ExpFloat64() / callsPerSecond * float64(time.Second)))
-		sim.pending = slices.DeleteFunc(sim.pending, func(l pendingCall) bool {
-			if l.ends.After(sim.now) {
+		sim.pending = slices.DeleteFunc(sim.pending, func(c pendingCall) bool {
+			if c.ends.After(sim.now) {
 				return false
 			}
-			sim.running[l.target]--
-			sim.table.Ended(sim.now, l.target, Report{Outcome: l.outcome, HasLoad: l.outcome != Silent, InFlight: sim.running[l.target], Limit: slotsPerTarget})
-			if l.outcome != Complete {
+			sim.running[c.target]--
+			sim.table.Ended(sim.now, c.target, Report{Outcome: c.outcome, HasLoad: c.outcome != Silent, InFlight: sim.running[c.target], Limit: slotsPerTarget})
+			if c.outcome != Complete {
 				sim.failed++
 			}
 			return true
@@ -123,7 +123,7 @@
 	return targets
 }
 
-func TestFastFailureDrawsNoCalls(t *testing.T) {
+func TestFastFailingTargetIsEjected(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a"))
 	sim.override("a0", constant(time.Millisecond), Failed)
@@ -134,7 +134,7 @@
 	is.Equal(sim.ejected(), []string{"a0"})
 }
 
-func TestSilentTargetIsEjectedAndTriedAgain(t *testing.T) {
+func TestSilentTargetIsEjectedAndRetried(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a"))
 	sim.override("a0", constant(time.Second), Silent)
@@ -152,7 +152,7 @@
 	is.True(sim.sent["a0"]-before > 3000/3/2) // it is in full use once it answers
 }
 
-func TestFailingServiceKeepsItsTargets(t *testing.T) {
+func TestFailingServiceKeepsTargetsInUse(t *testing.T) {
 	for _, outcome := range []Outcome{Failed, Silent, Unreachable} {
 		is := is.New(t)
 		sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a"))
@@ -168,7 +168,9 @@
 	}
 }
 
-func TestTroubleOfAllEjectsNobody(t *testing.T) {
+// If all targets fail most of their calls, none is an outlier and none is ejected
+// once the success rates show this.
+func TestFailureOfAllTargetsEjectsNone(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a"))
 	sim.answer = func(string) (time.Duration, Outcome) {
@@ -184,7 +186,9 @@
 	}
 }
 
-func TestAShareOfTheTargetsStaysInUse(t *testing.T) {
+// While at least a third of the targets are usable, ejected ones get no calls. With fewer, all
+// targets are used.
+func TestMinUsableShareStaysInUse(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a", "b", "c"))
 	sim.table.openTiers = 3
@@ -210,7 +214,7 @@
 	is.Equal(used(), 9) // less than a third would be left
 }
 
-func TestDeeperFailureBlamesNobody(t *testing.T) {
+func TestBlamelessFailuresDoNotEject(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a"))
 	sim.override("a0", sim.normalLatency, Blameless)
@@ -218,7 +222,7 @@
 	is.Equal(len(sim.ejected()), 0)
 }
 
-func TestNearTargetsComeFirst(t *testing.T) {
+func TestNearestTierIsPreferred(t *testing.T) {
 	is := is.New(t)
 	s := Settings{DataCentre: "a", Region: "r", Distances: map[string]time.Duration{"b": time.Millisecond, "c": 2 * time.Millisecond}}
 	sim := newSimulation(s, targetsIn("a", "b", "c"))
@@ -231,7 +235,7 @@
 	is.Equal(sim.table.openTiers, 1) // back to the local data centre
 }
 
-func TestOneTargetInEachDataCentre(t *testing.T) {
+func TestUnreachableNearTargetIsReplaced(t *testing.T) {
 	is := is.New(t)
 	targets := targetsIn("a", "b", "c")
 	sim := newSimulation(Settings{DataCentre: "a"}, []Target{targets[0], targets[3], targets[6]})
@@ -242,7 +246,9 @@
 	is.True(sim.sent["b0"] > 0)
 }
 
-func TestSpillDoesNotFlap(t *testing.T) {
+// Under a load close to the threshold, the number of open tiers must change at most once a
+// second.
+func TestOpenTiersDoNotFlap(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a", "b"))
 	sim.run(850, 30*time.Second) // 85 of 90 slots, where random variation crosses the threshold
@@ -250,7 +256,7 @@
 	is.True(sim.tierChanges <= 30) // at most one a second
 }
 
-func TestColdTargetGetsLess(t *testing.T) {
+func TestColdTargetGetsFewerCalls(t *testing.T) {
 	is := is.New(t)
 	targets := targetsIn("a")
 	targets[0].Cold = true
@@ -266,12 +272,12 @@
 
 // With random lists of targets and outcomes of calls, the table must choose only present and
 // not excluded targets, and leaving ones only if no other target remains.
-func TestChoiceKeepsItsRules(t *testing.T) {
+func TestChooseSkipsExcludedAndLeaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		table := New(Settings{DataCentre: "a", Random: random.Float64})
 		now := testStart
-		left := map[string]bool{} // incarnations that reported that they are leaving
+		departing := map[string]bool{} // incarnations that are listed or reported as leaving
 		present := map[string]Target{}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now = now.Add(time.Duration(random.IntN(400)) * time.Millisecond)
@@ -284,7 +290,7 @@
 						target.Leaving = random.IntN(6) == 0
 						listed = append(listed, target)
 						present[target.Name] = target
-						left[target.Incarnation] = left[target.Incarnation] && table.entries[target.Name] != nil &&
+						departing[target.Incarnation] = departing[target.Incarnation] && table.entries[target.Name] != nil &&
 							table.entries[target.Name].target.Incarnation == target.Incarnation || target.Leaving
 					}
 				}
@@ -292,27 +298,27 @@
 			}
 			exclude := map[string]bool{fmt.Sprint("a", random.IntN(3)): true}
 			target, ok := table.Choose(now, exclude)
-			takers := 0
+			candidates := 0
 			for _, p := range present {
-				if !left[p.Incarnation] && !exclude[p.Name] {
-					takers++
+				if !departing[p.Incarnation] && !exclude[p.Name] {
+					candidates++
 				}
 			}
 			if !ok {
 				continue
 			}
 			// A leaving target is chosen only if no other target remains.
-			if takers > 0 && left[target.Incarnation] || exclude[target.Name] || present[target.Name].Incarnation != target.Incarnation {
-				t.Fatalf("chose %+v of %v, without %v, left %v", target, present, exclude, left)
+			if candidates > 0 && departing[target.Incarnation] || exclude[target.Name] || present[target.Name].Incarnation != target.Incarnation {
+				t.Fatalf("chose %+v of %v, without %v, departing %v", target, present, exclude, departing)
 			}
 			leaving := random.IntN(10) == 0
-			left[target.Incarnation] = left[target.Incarnation] || leaving
+			departing[target.Incarnation] = departing[target.Incarnation] || leaving
 			table.Ended(now, target.Name, Report{Outcome: Outcome(random.IntN(6)), HasLoad: true, Limit: 10, Leaving: leaving})
 		}
 	})
 }
 
-func TestNewIncarnationStartsAfresh(t *testing.T) {
+func TestNewIncarnationDiscardsState(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(Settings{DataCentre: "a"}, targetsIn("a"))
 	for range 5 {
--- a/internal/route/poor_test.go
+++ b/internal/route/underperform_test.go
@@ -32,7 +32,7 @@
 // The only near target loses more than half of its calls, which is too little to eject it,
 // while the others are healthy. They must get nearly all calls within a second, and the near
 // target must get its share again within two seconds of its recovery.
-func TestNearTargetThatLosesCallsIsLeftForOthers(t *testing.T) {
+func TestUnderperformingNearTargetIsAvoided(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(Settings{DataCentre: "a"}, onePerDataCentre("a", "b", "c"))
 	sim.run(100, 5*time.Second)
@@ -51,7 +51,7 @@
 
 // Two of four targets lose more than half of their calls, and the other two have room for
 // all. Few calls may be lost, whichever data centre they come from.
-func TestHalfOfTheTargetsLosesCalls(t *testing.T) {
+func TestUnderperformingHalfIsAvoided(t *testing.T) {
 	is := is.New(t)
 	for _, dataCentre := range []string{"a", "b", "c", "d"} {
 		sim := newSimulation(Settings{DataCentre: dataCentre}, onePerDataCentre("a", "b", "c", "d"))
