--- a/internal/budget/bench_test.go
+++ b/internal/budget/bench_test.go
@@ -19,9 +19,9 @@
 	allowance.TryRetry(now)
 }
 
-// TestAllowanceKeepsNoHistory checks that the memory of an allowance does not grow with the
+// TestAllowanceDoesNotAllocate checks that the memory of an allowance does not grow with the
 // number of calls, as it would with a list of completions.
-func TestAllowanceKeepsNoHistory(t *testing.T) {
+func TestAllowanceDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
 	allowance, now := NewAllowance(0.1, 10), testStart
 	made := testing.AllocsPerRun(1, func() {
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -21,71 +21,71 @@
 	delayed []func()
 }
 
-// serve handles a call with the tokens lent to it and returns the number of tokens left.
-func (c *tree) serve(depth, tokens int) int {
+// serve handles a call with the tokens lent with it and returns the number of tokens left.
+func (tr *tree) serve(depth, tokens int) int {
 	pool := &TokenPool{Tokens: tokens}
 	if depth == 0 {
 		return pool.Tokens
 	}
-	for range c.random("fan-out")%3 + 1 {
-		c.call(depth, pool)
+	for range tr.random("fan-out")%3 + 1 {
+		tr.call(depth, pool)
 	}
 	return pool.Tokens
 }
 
 // call sends a call and retries it while it fails and there are tokens.
-func (c *tree) call(depth int, pool *TokenPool) {
+func (tr *tree) call(depth int, pool *TokenPool) {
 	for {
 		loan := pool.LendTracked()
-		left := c.serve(depth-1, loan.Tokens)
-		switch fate := c.random("fate"); {
+		left := tr.serve(depth-1, loan.Tokens)
+		switch fate := tr.random("fate"); {
 		case fate < 20: // the answer is lost, and the lent tokens with it
 		case fate < 40:
-			c.delayed = append(c.delayed, func() { loan.Return(left) })
+			tr.delayed = append(tr.delayed, func() { loan.Return(left) })
 		case fate < 60: // the answer arrives twice
 			loan.Return(left)
-			c.delayed = append(c.delayed, func() { loan.Return(left) })
+			tr.delayed = append(tr.delayed, func() { loan.Return(left) })
 		default:
 			loan.Return(left)
 		}
-		if len(c.delayed) > 0 && c.random("late") < 60 {
-			at := c.random("which") % len(c.delayed)
-			c.delayed[at]()
+		if len(tr.delayed) > 0 && tr.random("late") < 60 {
+			at := tr.random("which") % len(tr.delayed)
+			tr.delayed[at]()
 		}
-		if c.random("failure") < 25 || !pool.Spend() {
+		if tr.random("failure") < 25 || !pool.Spend() {
 			return
 		}
-		c.retries++
+		tr.retries++
 	}
 }
 
-// TestRepeatsStayWithinTheBudget checks random call trees with lost, late, duplicate and
+// TestRetriesStayWithinTokens checks random call trees with lost, late, duplicate and
 // reordered answers: the retries of a request stay within its budget at any depth.
-func TestRepeatsStayWithinTheBudget(t *testing.T) {
+func TestRetriesStayWithinTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := rapid.IntRange(0, 8).Draw(t, "budget")
 		depth := rapid.IntRange(1, 10).Draw(t, "depth")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		for range treesPerCheck {
 			calls := 0
-			c := &tree{random: func(label string) int {
+			tr := &tree{random: func(label string) int {
 				if calls++; label == "fan-out" && calls > 2_000 {
 					return 0 // limits the size of the tree
 				}
 				return random.IntN(100)
 			}}
-			left := c.serve(depth, budget)
-			if c.retries > budget {
-				t.Fatalf("%d repeats with a budget of %d", c.retries, budget)
+			left := tr.serve(depth, budget)
+			if tr.retries > budget {
+				t.Fatalf("%d retries with a budget of %d", tr.retries, budget)
 			}
-			if left+c.retries > budget {
-				t.Fatalf("%d tokens left after %d repeats with a budget of %d", left, c.retries, budget)
+			if left+tr.retries > budget {
+				t.Fatalf("%d tokens left after %d retries with a budget of %d", left, tr.retries, budget)
 			}
 		}
 	})
 }
 
-func TestLoanTakesInOneAnswer(t *testing.T) {
+func TestLoanAcceptsOneAnswer(t *testing.T) {
 	is := is.New(t)
 	pool := &TokenPool{Tokens: 5}
 	first := pool.LendTracked()
@@ -99,7 +99,7 @@
 	is.Equal(pool.Tokens, 4)
 }
 
-func TestReturnNeverExceedsWhatWasLent(t *testing.T) {
+func TestReturnIsLimitedToLentTokens(t *testing.T) {
 	is := is.New(t)
 	pool := &TokenPool{Tokens: 3}
 	lent := pool.Lend()
@@ -132,7 +132,7 @@
 func TestBackoffGrowsWithinItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rapid.Float64Range(0, 0.999).Draw(t, "random")
-		retry := rapid.IntRange(1, 100).Draw(t, "repeat")
+		retry := rapid.IntRange(1, 100).Draw(t, "retry")
 		b := Backoff{Base: 10 * time.Millisecond, Max: time.Second, Random: func() float64 { return random }}
 		full := b.Base
 		for range retry - 1 {
@@ -145,7 +145,7 @@
 	})
 }
 
-func TestWorthwhile(t *testing.T) {
+func TestFitsDeadline(t *testing.T) {
 	is := is.New(t)
 	deadline := testStart.Add(100 * time.Millisecond)
 	is.True(FitsDeadline(testStart, deadline, 40*time.Millisecond, 60*time.Millisecond))
--- a/internal/budget/window.go
+++ b/internal/budget/window.go
@@ -12,8 +12,8 @@
 		Slack float64
 		Span  time.Duration
 		// MayHaveRunShare is the part of Share for retries of calls that may have run. Each
-		// of these retries makes its own calls again, which are counted where they
-		// arrive.
+		// of these retries makes the target's own calls again, which count as requests
+		// for the services that they go to.
 		MayHaveRunShare float64
 		// InnerFraction is the part of the budget that is available for retries of calls
 		// made by targets if requests of callers need the rest. The retry of a
@@ -46,11 +46,11 @@
 
 	// windowSlot holds the counts of one part of a span.
 	windowSlot struct {
-		requests float64
-		direct   float64 // requests made by callers
-		retries  float64
-		runs     float64 // retries of calls that may have run
-		inner    float64 // retries of calls made by targets
+		requests   float64
+		direct     float64 // requests made by callers
+		retries    float64
+		mayHaveRun float64 // retries of calls that may have run
+		inner      float64 // retries of calls made by targets
 	}
 )
 
@@ -87,7 +87,7 @@
 	switch {
 	case spent.retries+1 > limit:
 		return false
-	case retry.MayHaveRun && spent.runs+1 > w.rule.MayHaveRunShare*received.requests+w.rule.Slack:
+	case retry.MayHaveRun && spent.mayHaveRun+1 > w.rule.MayHaveRunShare*received.requests+w.rule.Slack:
 		return false
 	case retry.Inner:
 		reserved := min((1-w.rule.InnerFraction)*limit, received.direct)
@@ -105,7 +105,7 @@
 	slot := w.slot(now)
 	slot.retries++
 	if retry.MayHaveRun {
-		slot.runs++
+		slot.mayHaveRun++
 	}
 	if retry.Inner {
 		slot.inner++
@@ -152,7 +152,7 @@
 	for part := range int64(windowParts + 1) {
 		slot := w.slotBefore(part)
 		sum.retries += slot.retries
-		sum.runs += slot.runs
+		sum.mayHaveRun += slot.mayHaveRun
 		sum.inner += slot.inner
 	}
 	return sum
--- a/internal/budget/window_test.go
+++ b/internal/budget/window_test.go
@@ -14,10 +14,10 @@
 
 var windowStart = time.Unix(1_800_000_000, 0)
 
-// TestNodesTogetherKeepToTheBudget checks that the retries of all nodes together stay within
+// TestWindowsLimitServiceRetries checks that the retries of all nodes together stay within
 // the budget of the service in every span. The load of all nodes changes in the same way, and
 // every node retries as often as its window allows.
-func TestNodesTogetherKeepToTheBudget(t *testing.T) {
+func TestWindowsLimitServiceRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const share, slack, ownPart = 0.2, 48.0, 0.7
 		nodes := rapid.IntRange(1, 20).Draw(t, "nodes")
@@ -60,7 +60,7 @@
 	return sum
 }
 
-func TestOnlyTheLastSpanCounts(t *testing.T) {
+func TestWindowCountsLastSpanOnly(t *testing.T) {
 	is := is.New(t)
 	window := budget.NewWindow(budget.Rule{Share: 0.2, Span: windowSpan, MayHaveRunShare: 0.02})
 	for range 1000 {
@@ -74,24 +74,24 @@
 	is.True(!window.TryRetry(windowStart.Add(11*time.Second), budget.Retry{}))
 }
 
-func TestCallsThatMayHaveRunAreRepeatedLess(t *testing.T) {
+func TestWindowLimitsMayHaveRunRetries(t *testing.T) {
 	is := is.New(t)
 	window := budget.NewWindow(budget.Rule{Share: 0.2, Span: windowSpan, MayHaveRunShare: 0.02})
 	for range 1000 {
 		window.Request(windowStart, true)
 	}
-	runs := 0
+	granted := 0
 	for window.TryRetry(windowStart, budget.Retry{MayHaveRun: true}) {
-		runs++
+		granted++
 	}
-	is.Equal(runs, 20)
+	is.Equal(granted, 20)
 	is.True(window.TryRetry(windowStart, budget.Retry{}))
 }
 
-// TestRequestsOfCallersKeepTheirRepeats checks that calls made by targets cannot use up the
+// TestWindowReservesCallerRetries checks that calls made by targets cannot use up the
 // retries of requests of callers. The service receives 50 requests of callers and 800 calls of
 // other targets per second, five of which must succeed together, and sheds half of them.
-func TestRequestsOfCallersKeepTheirRepeats(t *testing.T) {
+func TestWindowReservesCallerRetries(t *testing.T) {
 	is := is.New(t)
 	window := budget.NewWindow(budget.Rule{Share: 0.14, Slack: 24, Span: windowSpan, InnerFraction: 0.4})
 	now := windowStart
@@ -99,7 +99,7 @@
 		now = now.Add(windowSpan / 8500)
 		window.Request(now, now.UnixNano()%17 != 0)
 	}
-	asked, direct, inner := 0, 0, 0
+	requested, direct, inner := 0, 0, 0
 	for i := range 5 * 850 { // five seconds in which half of the calls are shed
 		now = now.Add(windowSpan / 8500)
 		isDirect := i%17 == 0
@@ -110,14 +110,14 @@
 		taken := window.TryRetry(now, budget.Retry{Inner: !isDirect})
 		switch {
 		case isDirect:
-			asked++
+			requested++
 			direct += count(taken)
 		default:
 			inner += count(taken)
 		}
 	}
-	is.True(asked > 100)
-	is.Equal(direct, asked)
+	is.True(requested > 100)
+	is.Equal(direct, requested)
 	is.True(inner > 400)
 }
 
