--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -40,8 +40,8 @@
 	Body     []byte
 	Limits   schema.Limits
 	Revision int64
-	// Admitted is the admitted share of such requests at the time when this one arrived,
-	// or 0 if no share applies.
+	// Admitted is the admitted share of the requests of this kind at the time when this one
+	// arrived, or 0 if no share applies.
 	Admitted float64
 	// Steps holds the attempts so far.
 	Steps []Step
@@ -60,8 +60,8 @@
 	Detail string
 	// Refusal is the code of the actual refusal if Code is RepeatRefused, and otherwise 0.
 	Refusal result.Code
-	// Admitted is the admitted share of such requests if the request was refused because
-	// of it, and otherwise 0.
+	// Admitted is the admitted share of the requests of this kind if this one was refused
+	// because of that share, and otherwise 0.
 	Admitted float64
 	// Status, Header and Body are the target's complete response, or zero if Code says that
 	// there is none.
@@ -78,7 +78,8 @@
 }
 
 // Serving is an attempt that the target beside this node is currently serving. Calls that
-// the target makes are matched to it by its handle.
+// the target makes are matched to the attempt by the handle that the target receives with
+// the attempt and passes on.
 type Serving struct {
 	RequestID  string
 	Importance schema.Importance
@@ -165,7 +166,7 @@
 	return s.pendingChildren > 0
 }
 
-// notify calls Moved if it is set.
+// notify calls OnChildChange if it is set.
 func (s *Serving) notify() {
 	if s.OnChildChange != nil {
 		s.OnChildChange()
