--- a/internal/dedup/classify.go
+++ b/internal/dedup/classify.go
@@ -16,13 +16,13 @@
 		// ShedStatus is the declared status with which the target reports that it shed
 		// the call without running it; 0 stands for 503.
 		ShedStatus int
-		// MarksNotRun is set if targets mark the responses of calls that they did not run.
+		// MarksNotRun is set if the target marks the responses of calls that it did not run.
 		// Only the mark then decides whether the call was shed, not the status.
 		MarksNotRun bool
-		// NotRun is set if the response of this call has the mark.
+		// NotRun is set if the response to this call bears that mark.
 		NotRun bool
-		// OtherIncarnation is set when the call reached a process other than the addressed one, which
-		// rejected it.
+		// OtherIncarnation is set when the call reached a process other than the addressed
+		// one, and that process rejected the call.
 		OtherIncarnation bool
 		// OtherCall is set when the answer belongs to another call.
 		OtherCall bool
--- a/internal/dedup/dedup.go
+++ b/internal/dedup/dedup.go
@@ -131,7 +131,7 @@
 	compactAt = 1024
 )
 
-// New returns an empty set of attempt records.
+// New returns an empty store.
 func New[A any](s Settings) *Store[A] {
 	if s.Margin == 0 {
 		s.Margin = DefaultMargin
@@ -140,62 +140,62 @@
 }
 
 // Begin records a fresh attempt as running. The returned answer is set for Done only.
-func (b *Store[A]) Begin(now time.Time, attempt string) (Verdict, A) {
+func (s *Store[A]) Begin(now time.Time, attempt string) (Verdict, A) {
 	var none A
-	now = b.advance(now)
-	id, minted, ok := b.parse(now, attempt)
-	if verdict, answer, recorded := b.recorded(id); recorded {
+	now = s.advance(now)
+	id, minted, ok := s.parse(now, attempt)
+	if verdict, answer, recorded := s.recorded(id); recorded {
 		return verdict, answer
 	}
 	if !ok {
 		return Invalid, none
 	}
-	if b.expired(now, minted) {
+	if s.expired(now, minted) {
 		return Expired, none
 	}
-	if minted.UnixMilli() <= b.refusedThroughMS {
-		b.stats.Refused++
+	if minted.UnixMilli() <= s.refusedThroughMS {
+		s.stats.Refused++
 		return Full, none
 	}
-	if !b.makeRoom(entryBytes) {
-		b.refuseThrough(minted)
-		b.stats.Refused++
+	if !s.makeRoom(entryBytes) {
+		s.refuseThrough(minted)
+		s.stats.Refused++
 		return Full, none
 	}
-	b.recordBytes += entryBytes
-	b.entries[id] = &entry[A]{verdict: Running}
-	b.stats.Running++
+	s.recordBytes += entryBytes
+	s.entries[id] = &entry[A]{verdict: Running}
+	s.stats.Running++
 	return Fresh, none
 }
 
 // End records the answer, of the given size in bytes, of a running attempt. A second call
 // for the same attempt has no effect.
-func (b *Store[A]) End(now time.Time, attempt string, answer A, size int) {
-	now = b.advance(now)
-	id, _, _ := b.parse(now, attempt)
-	e, ok := b.entries[id]
+func (s *Store[A]) End(now time.Time, attempt string, answer A, size int) {
+	now = s.advance(now)
+	id, _, _ := s.parse(now, attempt)
+	e, ok := s.entries[id]
 	if !ok || e.verdict != Running {
 		return
 	}
-	b.stats.Running--
-	if !b.makeRoom(int64(size)) {
-		b.reduceToVerdict(id)
+	s.stats.Running--
+	if !s.makeRoom(int64(size)) {
+		s.reduceToVerdict(id)
 		return
 	}
-	b.answered = append(b.answered, answeredAttempt{id, now.UnixMilli()})
+	s.answered = append(s.answered, answeredAttempt{id, now.UnixMilli()})
 	e.verdict = Done
 	e.answer = answer
 	e.size = int64(size)
-	b.answerBytes += e.size
+	s.answerBytes += e.size
 }
 
 // Query returns the status of an attempt. When it returns NeverSeen, the attempt is
 // rejected if it arrives later.
-func (b *Store[A]) Query(now time.Time, attempt string) (State, A) {
+func (s *Store[A]) Query(now time.Time, attempt string) (State, A) {
 	var none A
-	now = b.advance(now)
-	id, minted, ok := b.parse(now, attempt)
-	if verdict, answer, recorded := b.recorded(id); recorded {
+	now = s.advance(now)
+	id, minted, ok := s.parse(now, attempt)
+	if verdict, answer, recorded := s.recorded(id); recorded {
 		if verdict == Tombstoned {
 			verdict = NeverSeen
 		}
@@ -204,41 +204,41 @@
 	if !ok {
 		return Invalid, none
 	}
-	if b.expired(now, minted) {
+	if s.expired(now, minted) {
 		return Expired, none
 	}
-	if minted.UnixMilli() <= b.refusedThroughMS {
+	if minted.UnixMilli() <= s.refusedThroughMS {
 		return NeverSeen, none
 	}
-	if !b.makeRoom(verdictBytes) {
-		b.refuseThrough(minted)
+	if !s.makeRoom(verdictBytes) {
+		s.refuseThrough(minted)
 		return NeverSeen, none
 	}
-	b.recordVerdict(id, Tombstoned)
-	b.stats.Tombstones++
+	s.recordVerdict(id, Tombstoned)
+	s.stats.Tombstones++
 	return NeverSeen, none
 }
 
 // Forget drops answers, attempts and tombstones that are past their retention periods.
-func (b *Store[A]) Forget(now time.Time) {
-	now = b.advance(now)
-	if keep := b.settings.AnswerRetention; keep > 0 {
-		for len(b.answered) > 0 && b.answered[0].past(now, keep) {
-			b.dropOldestAnswer()
+func (s *Store[A]) Forget(now time.Time) {
+	now = s.advance(now)
+	if keep := s.settings.AnswerRetention; keep > 0 {
+		for len(s.answered) > 0 && s.answered[0].past(now, keep) {
+			s.dropOldestAnswer()
 		}
 	}
 	past := 0
-	for past < len(b.answered) && b.answered[past].past(now, b.settings.Retention) {
-		b.removeEntry(b.answered[past].id)
+	for past < len(s.answered) && s.answered[past].past(now, s.settings.Retention) {
+		s.removeEntry(s.answered[past].id)
 		past++
 	}
-	b.answered = b.answered[past:]
+	s.answered = s.answered[past:]
 	if past > compactAt {
-		b.answered = append([]answeredAttempt(nil), b.answered...)
+		s.answered = append([]answeredAttempt(nil), s.answered...)
 	}
-	for second, verdicts := range b.bareVerdicts {
-		if b.expired(now, time.Unix(second+1, 0)) {
-			b.removeVerdicts(second, verdicts)
+	for second, verdicts := range s.bareVerdicts {
+		if s.expired(now, time.Unix(second+1, 0)) {
+			s.removeVerdicts(second, verdicts)
 		}
 	}
 }
@@ -248,48 +248,48 @@
 }
 
 // Stats returns the current gauges and counters.
-func (b *Store[A]) Stats() Stats {
-	stats := b.stats
-	stats.Entries = len(b.entries) + b.verdictCount()
-	stats.Bytes = b.recordBytes + b.answerBytes
+func (s *Store[A]) Stats() Stats {
+	stats := s.stats
+	stats.Entries = len(s.entries) + s.verdictCount()
+	stats.Bytes = s.recordBytes + s.answerBytes
 	return stats
 }
 
 // MaxBytes returns the memory bound.
-func (b *Store[A]) MaxBytes() int64 {
-	return b.settings.MaxBytes
+func (s *Store[A]) MaxBytes() int64 {
+	return s.settings.MaxBytes
 }
 
-func (b *Store[A]) advance(now time.Time) time.Time {
-	if now.After(b.latest) {
-		b.latest = now
+func (s *Store[A]) advance(now time.Time) time.Time {
+	if now.After(s.latest) {
+		s.latest = now
 	}
-	return b.latest
+	return s.latest
 }
 
 // recorded returns the recorded verdict and answer of an attempt, and whether there are any.
-func (b *Store[A]) recorded(id uuid.UUID) (Verdict, A, bool) {
+func (s *Store[A]) recorded(id uuid.UUID) (Verdict, A, bool) {
 	var none A
-	if e, ok := b.entries[id]; ok {
+	if e, ok := s.entries[id]; ok {
 		return e.verdict, e.answer, true
 	}
-	verdict, ok := b.bareVerdicts[mintSecond(id)][shorten(id)]
+	verdict, ok := s.bareVerdicts[mintSecond(id)][shorten(id)]
 	return verdict, none, ok
 }
 
 // recordVerdict records a verdict without an entry.
-func (b *Store[A]) recordVerdict(id uuid.UUID, verdict Verdict) {
+func (s *Store[A]) recordVerdict(id uuid.UUID, verdict Verdict) {
 	second := mintSecond(id)
-	if b.bareVerdicts[second] == nil {
-		b.bareVerdicts[second] = map[shortID]Verdict{}
+	if s.bareVerdicts[second] == nil {
+		s.bareVerdicts[second] = map[shortID]Verdict{}
 	}
-	b.bareVerdicts[second][shorten(id)] = verdict
-	b.recordBytes += verdictBytes
+	s.bareVerdicts[second][shorten(id)] = verdict
+	s.recordBytes += verdictBytes
 }
 
-func (b *Store[A]) verdictCount() int {
+func (s *Store[A]) verdictCount() int {
 	count := 0
-	for _, verdicts := range b.bareVerdicts {
+	for _, verdicts := range s.bareVerdicts {
 		count += len(verdicts)
 	}
 	return count
@@ -306,13 +306,13 @@
 
 // parse returns an attempt id and its mint time. It returns false if the id is not a
 // canonical UUIDv7, or if its mint time is in the future by more than the margin.
-func (b *Store[A]) parse(now time.Time, attempt string) (uuid.UUID, time.Time, bool) {
+func (s *Store[A]) parse(now time.Time, attempt string) (uuid.UUID, time.Time, bool) {
 	id, err := uuid.Parse(attempt)
 	if err != nil || id.Version() != 7 || !canonical(id, attempt) {
 		return uuid.Nil, time.Time{}, false
 	}
 	minted := time.Unix(id.Time().UnixTime())
-	return id, minted, !minted.After(now.Add(b.settings.Margin))
+	return id, minted, !minted.After(now.Add(s.settings.Margin))
 }
 
 // canonical reports whether text is the canonical form of the id.
@@ -327,59 +327,60 @@
 //
 // For example, with a retention period of 60 s and a margin of 1 s, an attempt is minted at
 // 100 s by a clock that is 1 s ahead, and ends at 99 s by the local clock. Its record may be
-// dropped after 159 s, so the id expires at 159 s.
-func (b *Store[A]) expired(now, minted time.Time) bool {
-	return now.Sub(minted) >= b.settings.Retention-b.settings.Margin
+// dropped after 159 s, so the id expires at that time.
+func (s *Store[A]) expired(now, minted time.Time) bool {
+	return now.Sub(minted) >= s.settings.Retention-s.settings.Margin
 }
 
 // refuseThrough replaces a record for which there is no memory: from now on, every
-// unrecorded attempt minted up to the given time is rejected. This also rejects other attempts,
-// but only attempts minted up to a time at which the memory is full anyway.
-func (b *Store[A]) refuseThrough(minted time.Time) {
-	b.refusedThroughMS = max(b.refusedThroughMS, minted.UnixMilli())
+// unrecorded attempt minted up to the given time is rejected. This also rejects other
+// attempts, but only attempts minted up to a time at which the memory is full anyway.
+func (s *Store[A]) refuseThrough(minted time.Time) {
+	s.refusedThroughMS = max(s.refusedThroughMS, minted.UnixMilli())
 }
 
 // makeRoom drops the oldest answers until need more bytes fit into the memory bound, and
 // reports whether they fit.
-func (b *Store[A]) makeRoom(need int64) bool {
-	stripped := b.recordBytes - int64(len(b.answered))*(entryBytes-verdictBytes)
-	if stripped+need > b.settings.MaxBytes {
+func (s *Store[A]) makeRoom(need int64) bool {
+	// minRecordBytes is what the records take once all answers are dropped.
+	minRecordBytes := s.recordBytes - int64(len(s.answered))*(entryBytes-verdictBytes)
+	if minRecordBytes+need > s.settings.MaxBytes {
 		return false
 	}
-	for b.recordBytes+b.answerBytes+need > b.settings.MaxBytes {
-		b.dropOldestAnswer()
+	for s.recordBytes+s.answerBytes+need > s.settings.MaxBytes {
+		s.dropOldestAnswer()
 	}
 	return true
 }
 
-func (b *Store[A]) dropOldestAnswer() {
-	oldest := b.answered[0]
-	b.answered = b.answered[1:]
-	b.answerBytes -= b.entries[oldest.id].size
-	b.reduceToVerdict(oldest.id)
+func (s *Store[A]) dropOldestAnswer() {
+	oldest := s.answered[0]
+	s.answered = s.answered[1:]
+	s.answerBytes -= s.entries[oldest.id].size
+	s.reduceToVerdict(oldest.id)
 }
 
-// reduceToVerdict replaces the entry of an ended attempt by the verdict Dropped.
-func (b *Store[A]) reduceToVerdict(id uuid.UUID) {
-	delete(b.entries, id)
-	b.recordBytes -= entryBytes
-	b.recordVerdict(id, Dropped)
-	b.stats.Dropped++
+// reduceToVerdict replaces the entry of an ended attempt with the verdict Dropped.
+func (s *Store[A]) reduceToVerdict(id uuid.UUID) {
+	delete(s.entries, id)
+	s.recordBytes -= entryBytes
+	s.recordVerdict(id, Dropped)
+	s.stats.Dropped++
 }
 
-func (b *Store[A]) removeEntry(id uuid.UUID) {
-	b.answerBytes -= b.entries[id].size
-	b.recordBytes -= entryBytes
-	delete(b.entries, id)
+func (s *Store[A]) removeEntry(id uuid.UUID) {
+	s.answerBytes -= s.entries[id].size
+	s.recordBytes -= entryBytes
+	delete(s.entries, id)
 }
 
 // removeVerdicts drops the verdicts of one second, whose attempts have all expired.
-func (b *Store[A]) removeVerdicts(second int64, verdicts map[shortID]Verdict) {
+func (s *Store[A]) removeVerdicts(second int64, verdicts map[shortID]Verdict) {
 	for _, verdict := range verdicts {
 		if verdict == Tombstoned {
-			b.stats.Tombstones--
+			s.stats.Tombstones--
 		}
 	}
-	b.recordBytes -= verdictBytes * int64(len(verdicts))
-	delete(b.bareVerdicts, second)
+	s.recordBytes -= verdictBytes * int64(len(verdicts))
+	delete(s.bareVerdicts, second)
 }
--- a/internal/dedup/dedup_test.go
+++ b/internal/dedup/dedup_test.go
@@ -31,12 +31,12 @@
 
 func id(ms int64, number int) string { return attemptID(startMS+ms, number) }
 
-// TestBookKeepsItsWord checks random sequences of operations, with late, duplicate and
-// reordered deliveries and a clock that jumps. Every attempt runs at most once, does not run
-// if it was ever reported as not run, and gets its own answer.
-func TestBookKeepsItsWord(t *testing.T) {
+// TestAttemptRunsAtMostOnce checks random sequences of operations, with late, duplicate and
+// reordered deliveries and a clock that jumps. Every attempt runs at most once, does not
+// run if it was ever reported as not run, and gets its own answer.
+func TestAttemptRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := New[string](testSettings)
+		store := New[string](testSettings)
 		nowMS := int64(startMS)
 		var ids []string
 		ran, ended, notRun := map[string]int{}, map[string]bool{}, map[string]bool{}
@@ -61,13 +61,13 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
-				is.New(t).True(b.Stats().Bytes <= testSettings.MaxBytes)
+				is.New(t).True(store.Stats().Bytes <= testSettings.MaxBytes)
 			},
 			// A clock that is set back must not make a forgotten id valid again.
 			"wait": func(t *rapid.T) { nowMS += rapid.Int64Range(-8000, 12000).Draw(t, "ms") },
 			"begin": func(t *rapid.T) {
 				attempt := pick(t)
-				verdict, answer := b.Begin(time.UnixMilli(nowMS), attempt)
+				verdict, answer := store.Begin(time.UnixMilli(nowMS), attempt)
 				if verdict == Fresh {
 					ran[attempt]++
 				}
@@ -76,24 +76,26 @@
 			},
 			"end": func(t *rapid.T) {
 				attempt := pick(t)
-				b.End(time.UnixMilli(nowMS), attempt, "answer of "+attempt, rapid.IntRange(0, 3*entryBytes).Draw(t, "size"))
+				store.End(time.UnixMilli(nowMS), attempt, "answer of "+attempt, rapid.IntRange(0, 3*entryBytes).Draw(t, "size"))
 				ended[attempt] = ended[attempt] || ran[attempt] > 0
 			},
-			"ask": func(t *rapid.T) {
+			"query": func(t *rapid.T) {
 				attempt := pick(t)
-				state, answer := b.Query(time.UnixMilli(nowMS), attempt)
+				state, answer := store.Query(time.UnixMilli(nowMS), attempt)
 				notRun[attempt] = notRun[attempt] || state == NeverSeen
 				check(state, attempt, answer)
 			},
-			"forget": func(*rapid.T) { b.Forget(time.UnixMilli(nowMS)) },
+			"forget": func(*rapid.T) { store.Forget(time.UnixMilli(nowMS)) },
 		})
 	})
 }
 
+// TestScripts runs the operations in the data files. An attempt is written as its mint time
+// in milliseconds after a fixed start, a slash and a number.
 func TestScripts(t *testing.T) {
 	names := [...]string{"fresh", "running", "done", "dropped", "tombstoned", "full", "never_seen", "expired", "invalid"}
-	datadriven.Walk(t, "testdata/book", func(t *testing.T, path string) {
-		b := New[string](testSettings)
+	datadriven.Walk(t, "testdata/store", func(t *testing.T, path string) {
+		store := New[string](testSettings)
 		nowMS := int64(0)
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			attempt := ""
@@ -110,19 +112,19 @@
 				_, err := fmt.Sscan(attempt, &nowMS)
 				is.New(t).NoErr(err)
 			case "begin":
-				verdict, answer := b.Begin(at(nowMS), attempt)
+				verdict, answer := store.Begin(at(nowMS), attempt)
 				return fmt.Sprintln(names[verdict], verdict.Code(), answer)
-			case "ask":
-				state, answer := b.Query(at(nowMS), attempt)
+			case "query":
+				state, answer := store.Query(at(nowMS), attempt)
 				return fmt.Sprintln(names[state], answer)
 			case "end":
 				var size int
 				d.ScanArgs(t, "size", &size)
-				b.End(at(nowMS), attempt, fmt.Sprint("answer ", number), size)
+				store.End(at(nowMS), attempt, fmt.Sprint("answer ", number), size)
 			case "forget":
-				b.Forget(at(nowMS))
+				store.Forget(at(nowMS))
 			case "stats":
-				return fmt.Sprintf("%+v\n", b.Stats())
+				return fmt.Sprintf("%+v\n", store.Stats())
 			default:
 				t.Fatalf("unknown command %s", d.Cmd)
 			}
@@ -131,8 +133,9 @@
 	})
 }
 
-// TestTables checks the result code for each set of facts in the data files.
-func TestTables(t *testing.T) {
+// TestResultCodes checks the codes that Classify and Resolve return for the facts in the data
+// files.
+func TestResultCodes(t *testing.T) {
 	states := map[string]State{
 		"running": Running, "done": Done, "dropped": Dropped,
 		"never_seen": NeverSeen, "expired": Expired, "invalid": Invalid,
@@ -141,7 +144,7 @@
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			has := d.HasArg
 			if d.Cmd == "classify" {
-				f := Facts{Sent: has("sent"), BodyComplete: has("whole"), TooLarge: has("large")}
+				f := Facts{Sent: has("sent"), BodyComplete: has("complete"), TooLarge: has("large")}
 				f.TimedOut, f.Cancelled, f.ChildCallsRan = has("timed_out"), has("cancelled"), has("children")
 				d.MaybeScanArgs(t, "status", &f.Status)
 				d.MaybeScanArgs(t, "shed", &f.ShedStatus)
@@ -165,7 +168,7 @@
 func TestNotRunNeedsProof(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
-		f := Facts{Sent: flag("sent"), BodyComplete: flag("whole"), TooLarge: flag("large")}
+		f := Facts{Sent: flag("sent"), BodyComplete: flag("complete"), TooLarge: flag("large")}
 		f.TimedOut, f.Cancelled, f.ChildCallsRan = flag("timed out"), flag("cancelled"), flag("children")
 		f.Status = rapid.SampledFrom([]int{0, 101, 200, 302, 404, 429, 500, 503, 504, 700}).Draw(t, "status")
 		proven := !f.ChildCallsRan && (!f.Sent || f.Status == 503)
