--- a/internal/once/handover.go
+++ b/internal/once/handover.go
@@ -8,8 +8,8 @@
 func (l *Ledger[A]) Export() []Record[A] {
 	l.closed = true
 	records := make([]Record[A], 0, l.records)
-	for _, m := range l.buckets {
-		for id, r := range m.records {
+	for _, b := range l.buckets {
+		for id, r := range b.records {
 			records = append(records, Record[A]{
 				Key:         keyOf(id),
 				Kind:        r.kind,
@@ -23,9 +23,10 @@
 	return records
 }
 
-// Import adds records that the incarnation from exported. It returns false if this ledger is
-// closed, or belongs to from itself. Keys that from never received may run here once a plan
-// names this incarnation as the holder of the records of from.
+// Import adds records that another incarnation, named by from, exported. It returns false
+// if this ledger is closed, or if from is its own incarnation. Keys that the other
+// incarnation never received may run here once a plan names this incarnation as the holder
+// of its records.
 func (l *Ledger[A]) Import(from string, records []Record[A]) bool {
 	if l.closed || from == l.self.Incarnation {
 		return false
--- a/internal/once/ledger.go
+++ b/internal/once/ledger.go
@@ -82,7 +82,7 @@
 	Running
 	// Done means that the key has run; its answer is returned with the verdict.
 	Done
-	// Refuse means that the key must not run now, for the reason given by the code.
+	// Refuse means that the key must not run now, for the reason given by the result code.
 	Refuse
 )
 
@@ -96,9 +96,10 @@
 	}
 }
 
-// ApplyPlan puts a committed plan in force if it is newer than the known plan, and then clears all
-// promised cuts. The cuts were promised for a plan that was to replace the known one, so either
-// the newer plan contains them or the write of the promised plan can no longer take effect.
+// ApplyPlan puts a committed plan in force if it is newer than the known plan, and then
+// clears all promised cuts. The cuts were promised for a plan that was to replace the known
+// one, so either the newer plan contains them or the write of the promised plan can no
+// longer take effect.
 func (l *Ledger[A]) ApplyPlan(p Plan) {
 	if p.Version <= l.plan.Version {
 		return
@@ -113,7 +114,7 @@
 // Promise makes the ledger honour the cuts of next, that is, the holdings of this incarnation
 // that next ends earlier or removes. The cuts apply whether or not the write of next is known
 // to have taken effect. Promise returns false if next must not be written, because next is
-// not derived from the known plan, removes the mint time of an accepted key from this
+// not derived from the known plan, takes the mint time of an accepted key away from this
 // incarnation, or hands over the records of a ledger that is not closed.
 func (l *Ledger[A]) Promise(now time.Time, next Plan) bool {
 	now = l.advance(now)
@@ -143,8 +144,8 @@
 func (l *Ledger[A]) Leave(now time.Time) {
 	now = l.advance(now)
 	leaveMS := now.Add(l.rules.Margin).UnixMilli() + 1
-	for _, p := range l.slotStates {
-		leaveMS = max(leaveMS, p.highestMS+1)
+	for _, state := range l.slotStates {
+		leaveMS = max(leaveMS, state.highestMS+1)
 	}
 	l.leaveMS = earliest(l.leaveMS, leaveMS)
 }
@@ -187,8 +188,8 @@
 	return Run, none, 0
 }
 
-// rejection returns the code with which a key without a record is rejected, or 0 if the key may
-// run here.
+// rejection returns the code with which a key without a record is rejected, or 0 if the key
+// may run here.
 func (l *Ledger[A]) rejection(now time.Time, k Key) result.Code {
 	if k.Minted.After(now.Add(2 * l.rules.Margin)) {
 		// No owner accepts the key, even one whose clock is a margin ahead.
--- a/internal/once/model_test.go
+++ b/internal/once/model_test.go
@@ -51,8 +51,9 @@
 		ran     map[string]int
 		// tooOld holds the keys that were rejected as too old for any owner.
 		tooOld map[string]bool
-		// naive holds the records of an implementation that records each key at the
-		// node where it arrives.
+		// naive holds the records of an implementation without owners, which records
+		// each key at the node where the key arrives. naiveDuplicates counts the keys
+		// that it runs twice.
 		naive           map[string]bool
 		naiveRan        map[string]int
 		naiveDuplicates int
@@ -352,10 +353,12 @@
 	})
 }
 
-// TestTracesTellRightFromWrong checks that no key runs twice on the random traces, whereas an
-// implementation that records each key at the node where it arrives does run keys twice. It
-// also checks that the traces reach the interesting cases often.
-func TestTracesTellRightFromWrong(t *testing.T) {
+// TestRandomTracesExposeNaiveImplementation checks that no key runs twice on the random
+// traces, whereas an implementation that records each key at the node where the key arrives
+// runs some keys twice. It also checks that the traces often reach the cases that matter:
+// new, running and replayed keys, the rejections lost, owner_gone and forgotten, and
+// handovers.
+func TestRandomTracesExposeNaiveImplementation(t *testing.T) {
 	is := is.New(t)
 	caseCounts := map[string]int{}
 	naiveDuplicates := 0
@@ -366,20 +369,20 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		naiveDuplicates += m.naiveDuplicates
-		for what, count := range m.caseCounts {
-			caseCounts[what] += count
+		for name, count := range m.caseCounts {
+			caseCounts[name] += count
 		}
 	}
 	t.Log("keys run twice without owners:", naiveDuplicates, "seen", caseCounts)
 	is.True(naiveDuplicates > 0)
-	for _, what := range []string{"0 0", "1 running_still", "2 replayed", "3 lost", "3 owner_gone", "3 forgotten", "handover"} {
-		is.True(caseCounts[what] > traces/10) // the traces reach this case often
+	for _, name := range []string{"0 0", "1 running_still", "2 replayed", "3 lost", "3 owner_gone", "3 forgotten", "handover"} {
+		is.True(caseCounts[name] > traces/10) // the traces reach this case often
 	}
 }
 
-// TestTracesFindFaults checks that the random traces detect every disabled safety
-// mechanism.
-func TestTracesFindFaults(t *testing.T) {
+// TestRandomTracesDetectDisabledMechanisms checks that some random trace runs a key twice or
+// reports a wrong result whenever a safety mechanism is disabled.
+func TestRandomTracesDetectDisabledMechanisms(t *testing.T) {
 	for name, f := range map[string]fault{
 		"ignore promise":          ignorePromise,
 		"ignore lease end":        ignoreLeaseEnd,
--- a/internal/once/next.go
+++ b/internal/once/next.go
@@ -76,10 +76,11 @@
 	return cutMargins*rules.Margin + rules.ClaimLead
 }
 
-// HandOver returns the plan after a handover, in which from has closed its ledger by Export
-// and to has imported every record. The node to takes over the records of all holdings that
-// from had the records of, and gets the slots that from still holds. Either node may write
-// the plan, so that to can write it after an outage of the platform even if from is gone.
+// HandOver returns the plan after a handover from one node to another. The predecessor has
+// closed its ledger by Export, and the successor has imported every record. The successor
+// takes over the records of all holdings whose records the predecessor had, and gets the
+// slots that the predecessor still holds. Either node may write the plan: after an outage of
+// the platform, the successor can do so even if the predecessor is gone.
 func HandOver(now time.Time, p Plan, from, to Node, rules Rules) (Plan, bool) {
 	d := &draft{plan: p.clone(), nowMS: now.UnixMilli(), self: from, rules: rules}
 	d.closeOwn([]Node{to})
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -57,8 +57,9 @@
 	return b.String()
 }
 
-// commit writes the plan if the ledger promises its cuts. With the argument lost, the
-// response to the write is lost, and no ledger learns the plan.
+// commit writes the plan if the ledger promises its cuts. With the argument unwritten, the
+// write fails after the promise. With the argument lost, the response to the write is lost,
+// and no ledger learns the plan.
 func (s *script) commit(d *datadriven.TestData, node string, next Plan, changed bool) string {
 	if !changed {
 		return "unchanged\n"
@@ -105,9 +106,9 @@
 	case "learn":
 		l.ApplyPlan(s.table)
 	case "handover":
-		taken := d.HasArg("open") || s.ledgers[arg(1)].Import(arg(0), l.Export())
+		imported := d.HasArg("open") || s.ledgers[arg(1)].Import(arg(0), l.Export())
 		next, changed := HandOver(s.now(), s.table, self, s.nodes[arg(1)], s.rules)
-		return fmt.Sprintln("taken", taken) + s.commit(d, arg(0), next, changed && taken)
+		return fmt.Sprintln("imported", imported) + s.commit(d, arg(0), next, changed && imported)
 	case "takeover":
 		from := Node{Incarnation: arg(1)}
 		next, changed := HandOver(s.now(), s.table, from, self, s.rules)
@@ -179,7 +180,9 @@
 	})
 }
 
-func TestPlanDocument(t *testing.T) {
+// TestDecodePlan checks that an encoded plan is decoded unchanged, and that a plan with
+// overlapping holdings is rejected.
+func TestDecodePlan(t *testing.T) {
 	is := is.New(t)
 	members := []Node{{Name: "a", Incarnation: "a1"}, {Name: "b", Incarnation: "b1"}}
 	p, _ := Next(time.UnixMilli(startMS), Plan{Service: "orders"}, members[1], members, Rules{Slots: 3, Lease: time.Hour})
@@ -191,8 +194,8 @@
 	is.True(errorx.IsOfType(err, InvalidPlan))
 }
 
-// TestSlotsAreBalanced checks that after any sequence of joining and leaving nodes, the remaining
-// nodes hold all slots, and their numbers of slots differ by at most one.
+// TestSlotsAreBalanced checks that after any sequence of joining and leaving nodes, the
+// remaining nodes hold all slots, and their numbers of slots differ by at most one.
 func TestSlotsAreBalanced(t *testing.T) {
 	rules := Rules{Slots: 12, Margin: time.Second, KeyAge: time.Minute}
 	toggled := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), 1, 4)
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -40,7 +40,7 @@
 // Finish records the answer, of the given size in bytes, of a key that ran to completion.
 func (l *Ledger[A]) Finish(now time.Time, k Key, answer A, size int) {
 	l.advance(now)
-	m, r := l.lookup(k)
+	b, r := l.lookup(k)
 	if r == nil || r.state == done {
 		return
 	}
@@ -52,12 +52,12 @@
 	r.state = done
 	r.answer = answer
 	r.size = int64(size)
-	m.answerBytes += r.size
+	b.answerBytes += r.size
 	l.answerBytes += r.size
 }
 
-// MarkLost records that the key ran or may have run, with an unknown outcome. The key never runs
-// again.
+// MarkLost records that the key ran or may have run, with an unknown outcome. The key never
+// runs again.
 func (l *Ledger[A]) MarkLost(now time.Time, k Key) {
 	l.advance(now)
 	if _, r := l.lookup(k); r != nil && r.state == running {
@@ -68,12 +68,12 @@
 // Abandon drops the record of a key that provably did not run. The key may run later.
 func (l *Ledger[A]) Abandon(now time.Time, k Key) {
 	l.advance(now)
-	m, r := l.lookup(k)
+	b, r := l.lookup(k)
 	if r == nil || r.state != running {
 		return
 	}
 	id, _ := uuid.Parse(k.Text)
-	delete(m.records, id)
+	delete(b.records, id)
 	l.records--
 }
 
@@ -82,12 +82,12 @@
 func (l *Ledger[A]) Forget(now time.Time) {
 	now = l.advance(now)
 	oldestMS := now.Add(-l.rules.KeyAge - 2*l.rules.Margin).UnixMilli()
-	for number, m := range l.buckets {
+	for number, b := range l.buckets {
 		if (number+1)*minuteMS > oldestMS {
 			continue
 		}
-		l.records -= len(m.records)
-		l.answerBytes -= m.answerBytes
+		l.records -= len(b.records)
+		l.answerBytes -= b.answerBytes
 		delete(l.buckets, number)
 	}
 }
@@ -101,11 +101,11 @@
 }
 
 func (l *Ledger[A]) find(id uuid.UUID, k Key) *record[A] {
-	m, ok := l.buckets[bucketOf(k)]
+	b, ok := l.buckets[bucketOf(k)]
 	if !ok {
 		return nil
 	}
-	return m.records[id]
+	return b.records[id]
 }
 
 // lookup returns the record of the key and the bucket of its minute. The record is nil if there
@@ -120,12 +120,12 @@
 
 func (l *Ledger[A]) insert(id uuid.UUID, k Key, r *record[A]) {
 	number := bucketOf(k)
-	m, ok := l.buckets[number]
+	b, ok := l.buckets[number]
 	if !ok {
-		m = &bucket[A]{records: make(map[uuid.UUID]*record[A])}
-		l.buckets[number] = m
+		b = &bucket[A]{records: make(map[uuid.UUID]*record[A])}
+		l.buckets[number] = b
 	}
-	m.records[id] = r
+	b.records[id] = r
 	l.records++
 }
 
@@ -149,9 +149,9 @@
 func (l *Ledger[A]) dropOldestAnswers() {
 	var oldest *bucket[A]
 	oldestNumber := int64(0)
-	for number, m := range l.buckets {
-		if m.answerBytes > 0 && (oldest == nil || number < oldestNumber) {
-			oldest = m
+	for number, b := range l.buckets {
+		if b.answerBytes > 0 && (oldest == nil || number < oldestNumber) {
+			oldest = b
 			oldestNumber = number
 		}
 	}
