--- a/internal/beat/beat.go
+++ b/internal/beat/beat.go
@@ -35,12 +35,12 @@
 	// Target is the current process of a target.
 	Target struct {
 		Heartbeat
-		// LastHeartbeat is the time at which its last heartbeat arrived.
+		// LastHeartbeat is the arrival time of the last heartbeat of the process.
 		LastHeartbeat time.Time
-		// LeavingSince is the time at which its departure first became known, or zero if it is
-		// not leaving.
+		// LeavingSince is the time at which the departure of the process first became
+		// known, or zero if the process is not leaving.
 		LeavingSince time.Time
-		// ColdUntil is the end of its warm-up.
+		// ColdUntil is the end of the warm-up of the process.
 		ColdUntil time.Time
 	}
 
@@ -83,96 +83,96 @@
 }
 
 // Observe processes one heartbeat.
-func (b *Tracker) Observe(now time.Time, beat Heartbeat) Verdict {
-	if b.hasCurrent && beat.ID == b.current.ID && beat.StartedMS == b.current.StartedMS {
-		return b.update(now, beat)
+func (t *Tracker) Observe(now time.Time, heartbeat Heartbeat) Verdict {
+	if t.hasCurrent && heartbeat.ID == t.current.ID && heartbeat.StartedMS == t.current.StartedMS {
+		return t.update(now, heartbeat)
 	}
-	if b.superseded(beat) {
+	if t.superseded(heartbeat) {
 		return Stale
 	}
-	if b.hasCurrent {
-		b.markEnded(b.current.ID, b.current.StartedMS)
+	if t.hasCurrent {
+		t.markEnded(t.current.ID, t.current.StartedMS)
 	}
-	b.hasCurrent = true
-	b.current = Target{Heartbeat: beat, LastHeartbeat: now, ColdUntil: now.Add(beat.Warmup)}
-	if beat.State != Ready {
-		b.current.LeavingSince = now
+	t.hasCurrent = true
+	t.current = Target{Heartbeat: heartbeat, LastHeartbeat: now, ColdUntil: now.Add(heartbeat.Warmup)}
+	if heartbeat.State != Ready {
+		t.current.LeavingSince = now
 	}
 	return Changed
 }
 
-// Depart records that a process has announced that it is gone. bornMS is the start time of the
-// process, or 0 if the announcement does not contain it. Depart reports whether the current
-// target has changed.
-func (b *Tracker) Depart(now time.Time, id string, bornMS int64) bool {
-	if !b.hasCurrent || b.current.ID != id || bornMS != 0 && bornMS < b.current.StartedMS {
-		b.markEnded(id, bornMS)
+// Depart records that a process has announced that it is gone. startedMS is the start time of
+// the process, or 0 if the announcement does not contain it. Depart reports whether the state
+// of the current process has changed.
+func (t *Tracker) Depart(now time.Time, id string, startedMS int64) bool {
+	if !t.hasCurrent || t.current.ID != id || startedMS != 0 && startedMS < t.current.StartedMS {
+		t.markEnded(id, startedMS)
 		return false
 	}
-	if b.current.State == Gone {
+	if t.current.State == Gone {
 		return false
 	}
-	b.current.State = Gone
-	if b.current.LeavingSince.IsZero() {
-		b.current.LeavingSince = now
+	t.current.State = Gone
+	if t.current.LeavingSince.IsZero() {
+		t.current.LeavingSince = now
 	}
 	return true
 }
 
 // Target returns the current process, or false before the first heartbeat.
-func (b *Tracker) Target() (Target, bool) {
-	return b.current, b.hasCurrent
+func (t *Tracker) Target() (Target, bool) {
+	return t.current, t.hasCurrent
 }
 
 // update processes a further heartbeat of the current process.
-func (b *Tracker) update(now time.Time, beat Heartbeat) Verdict {
-	before := b.current
-	if beat.Sequence <= before.Sequence {
-		if beat.State <= before.State {
+func (t *Tracker) update(now time.Time, heartbeat Heartbeat) Verdict {
+	before := t.current
+	if heartbeat.Sequence <= before.Sequence {
+		if heartbeat.State <= before.State {
 			return Stale
 		}
 		// A departure counts however late its heartbeat arrives, because the node
-		// confirms it to the target.
-		late := beat.State
-		beat = before.Heartbeat
-		beat.State = late
+		// confirms the departure to the target.
+		departure := heartbeat.State
+		heartbeat = before.Heartbeat
+		heartbeat.State = departure
 	}
-	beat.State = max(beat.State, before.State)
-	b.current.Heartbeat = beat
-	b.current.LastHeartbeat = now
-	if beat.State != Ready && before.LeavingSince.IsZero() {
-		b.current.LeavingSince = now
+	heartbeat.State = max(heartbeat.State, before.State)
+	t.current.Heartbeat = heartbeat
+	t.current.LastHeartbeat = now
+	if heartbeat.State != Ready && before.LeavingSince.IsZero() {
+		t.current.LeavingSince = now
 	}
-	if beat.Warmup > 0 {
-		b.current.ColdUntil = now.Add(beat.Warmup)
+	if heartbeat.Warmup > 0 {
+		t.current.ColdUntil = now.Add(heartbeat.Warmup)
 	}
-	if beat.State != before.State || beat.Slots != before.Slots || beat.Service != before.Service {
+	if heartbeat.State != before.State || heartbeat.Slots != before.Slots || heartbeat.Service != before.Service {
 		return Changed
 	}
 	return Unchanged
 }
 
 // superseded reports whether a heartbeat comes from a process that has ended.
-func (b *Tracker) superseded(beat Heartbeat) bool {
-	if b.hasCurrent && beat.StartedMS != 0 && b.current.StartedMS != 0 && beat.StartedMS != b.current.StartedMS {
-		return beat.StartedMS < b.current.StartedMS
+func (t *Tracker) superseded(heartbeat Heartbeat) bool {
+	if t.hasCurrent && heartbeat.StartedMS != 0 && t.current.StartedMS != 0 && heartbeat.StartedMS != t.current.StartedMS {
+		return heartbeat.StartedMS < t.current.StartedMS
 	}
-	born, ended := b.ended[beat.ID]
-	return ended && beat.StartedMS <= born
+	endedStartMS, ended := t.ended[heartbeat.ID]
+	return ended && heartbeat.StartedMS <= endedStartMS
 }
 
-func (b *Tracker) markEnded(id string, bornMS int64) {
-	if b.ended == nil {
-		b.ended = map[string]int64{}
+func (t *Tracker) markEnded(id string, startedMS int64) {
+	if t.ended == nil {
+		t.ended = map[string]int64{}
 	}
-	if known, ok := b.ended[id]; ok {
-		b.ended[id] = max(known, bornMS)
+	if known, ok := t.ended[id]; ok {
+		t.ended[id] = max(known, startedMS)
 		return
 	}
-	b.ended[id] = bornMS
-	b.endedOrder = append(b.endedOrder, id)
-	if len(b.endedOrder) > maxEnded {
-		delete(b.ended, b.endedOrder[0])
-		b.endedOrder = b.endedOrder[1:]
+	t.ended[id] = startedMS
+	t.endedOrder = append(t.endedOrder, id)
+	if len(t.endedOrder) > maxEnded {
+		delete(t.ended, t.endedOrder[0])
+		t.endedOrder = t.endedOrder[1:]
 	}
 }
--- a/internal/beat/beat_test.go
+++ b/internal/beat/beat_test.go
@@ -15,24 +15,24 @@
 // TestScripts processes the heartbeats in the data files and prints the target after each.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var book beat.Tracker
+		var tracker beat.Tracker
 		start := time.Unix(0, 0)
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var atMS int
 			d.ScanArgs(t, "at", &atMS)
 			now := start.Add(time.Duration(atMS) * time.Millisecond)
 			var id string
-			var born int
+			var startedMS int
 			d.ScanArgs(t, "id", &id)
-			d.MaybeScanArgs(t, "born", &born)
+			d.MaybeScanArgs(t, "started", &startedMS)
 			var verdict string
 			switch d.Cmd {
 			case "beat":
-				verdict = play(t, d, &book, now, id, int64(born))
+				verdict = observe(t, d, &tracker, now, id, int64(startedMS))
 			case "depart":
-				verdict = fmt.Sprint(book.Depart(now, id, int64(born)))
+				verdict = fmt.Sprint(tracker.Depart(now, id, int64(startedMS)))
 			}
-			target, known := book.Target()
+			target, known := tracker.Target()
 			if !known {
 				return verdict + ": no target"
 			}
@@ -48,7 +48,7 @@
 	})
 }
 
-func play(t *testing.T, d *datadriven.TestData, book *beat.Tracker, now time.Time, id string, born int64) string {
+func observe(t *testing.T, d *datadriven.TestData, tracker *beat.Tracker, now time.Time, id string, startedMS int64) string {
 	t.Helper()
 	sequence, slots, warmup := 0, 10, 0
 	state := "ready"
@@ -57,17 +57,17 @@
 	d.MaybeScanArgs(t, "state", &state)
 	d.MaybeScanArgs(t, "warmup", &warmup)
 	states := map[string]beat.State{"ready": beat.Ready, "draining": beat.Draining}
-	verdict := book.Observe(now, beat.Heartbeat{
-		ID: id, Service: "stock", Slots: slots, State: states[state], Sequence: int64(sequence), StartedMS: born,
+	verdict := tracker.Observe(now, beat.Heartbeat{
+		ID: id, Service: "stock", Slots: slots, State: states[state], Sequence: int64(sequence), StartedMS: startedMS,
 		Warmup: time.Duration(warmup) * time.Millisecond,
 	})
-	return [...]string{"taken", "changed", "late"}[verdict]
+	return [...]string{"unchanged", "changed", "stale"}[verdict]
 }
 
-func TestNothingKnown(t *testing.T) {
+func TestNoTargetBeforeFirstHeartbeat(t *testing.T) {
 	is := is.New(t)
-	var book beat.Tracker
-	_, known := book.Target()
+	var tracker beat.Tracker
+	_, known := tracker.Target()
 	is.True(!known)
 	is.True(strings.Contains(beat.Draining.String(), "draining"))
 }
