--- a/internal/local/garble_test.go
+++ b/internal/local/answer_test.go
@@ -24,9 +24,9 @@
 
 const (
 	idHeader     = "Request-Id"
-	notRunMark   = "Not-Run"
+	notRunHeader = "Not-Run"
 	sealHeader   = "Seal"
-	wholeBody    = "rope"
+	completeBody = "rope"
 	endlessBytes = 64 << 20
 )
 
@@ -77,8 +77,8 @@
 	return s.opened
 }
 
-// nextID reads one request and returns its id.
-func nextID(reader *bufio.Reader) (string, bool) {
+// readRequestID reads one request and returns its id.
+func readRequestID(reader *bufio.Reader) (string, bool) {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
 		return "", false
@@ -88,25 +88,25 @@
 }
 
 func refusal(id string) string {
-	return fmt.Sprintf("HTTP/1.1 503 Service Unavailable\r\n%s: %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", idHeader, id, notRunMark)
+	return fmt.Sprintf("HTTP/1.1 503 Service Unavailable\r\n%s: %s\r\n%s: 1\r\nContent-Length: 0\r\n\r\n", idHeader, id, notRunHeader)
 }
 
 func success(id string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\nContent-Length: %d\r\n\r\n%s", idHeader, id, sealHeader, len(wholeBody), wholeBody)
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\nContent-Length: %d\r\n\r\n%s", idHeader, id, sealHeader, len(completeBody), completeBody)
 }
 
 // testWire returns the protocol that the targets of these tests use.
 func testWire() Wire {
 	return Wire{
 		IDHeader: idHeader,
-		Headers: func(about CallInfo) httpc.Fields {
-			return httpc.Fields{{Name: idHeader, Value: about.RequestID}}
+		Headers: func(info CallInfo) httpc.Fields {
+			return httpc.Fields{{Name: idHeader, Value: info.RequestID}}
 		},
 		Classify: func(requestID string, status int, header httpc.Fields) Disposition {
 			switch echoed := header.Get(idHeader); {
 			case echoed != "" && echoed != requestID:
 				return WrongRequest
-			case header.Get(notRunMark) != "":
+			case header.Get(notRunHeader) != "":
 				return NotRun
 			case status == http.StatusOK && (echoed == "" || header.Get(sealHeader) == ""):
 				return WrongRequest
@@ -136,7 +136,7 @@
 
 // An answer is not complete if the target closes the connection anywhere in it. Otherwise
 // a caller would mistake an empty or short body for the complete one.
-func TestAnswerCutAnywhereIsNotWhole(t *testing.T) {
+func TestTruncatedAnswerIsIncomplete(t *testing.T) {
 	for name, answer := range map[string]string{
 		"with a length": success("a"),
 		"in chunks": "HTTP/1.1 200 OK\r\n" + idHeader + ": a\r\n" + sealHeader + ": s\r\n" +
@@ -146,7 +146,7 @@
 		t.Run(name, func(t *testing.T) {
 			for cut := range len(answer) {
 				s := newScriptedTarget(t, func(_ *scriptedTarget, conn net.Conn, reader *bufio.Reader) {
-					if _, ok := nextID(reader); ok {
+					if _, ok := readRequestID(reader); ok {
 						_, _ = io.WriteString(conn, answer[:cut])
 					}
 				})
@@ -158,12 +158,14 @@
 	}
 }
 
-// A head without a length that is cut off has no body.
-func TestHeadCutBeforeItsEndHasNoBody(t *testing.T) {
+// If the target closes the connection within the head of an answer without a declared
+// length, the answer is lost. The truncated head must not be taken for an answer with an
+// empty body.
+func TestTruncatedHeadIsLost(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\n" + idHeader + ": a\r\n" + sealHeader + ": s\r\nConnection: close\r\n"
 	for cut := range len(head) {
 		s := newScriptedTarget(t, func(_ *scriptedTarget, conn net.Conn, reader *bufio.Reader) {
-			if _, ok := nextID(reader); ok {
+			if _, ok := readRequestID(reader); ok {
 				_, _ = io.WriteString(conn, head[:cut])
 			}
 		})
@@ -173,15 +175,15 @@
 	}
 }
 
-// A faulty target sends an earlier rejection a second time. The rejected request is
-// retried and runs, so the second rejection must not be taken for the answer to the retry:
-// "not run" would be false.
-func TestRefusalWrittenAgainIsNotTakenForTheRepeat(t *testing.T) {
+// A faulty target sends an earlier rejection a second time, after the rejected request was
+// retried and has run. The second rejection must not be taken for the answer to the retry,
+// because the retry would then be reported as not run although it ran.
+func TestDuplicateRefusalIsNotMatchedToRetry(t *testing.T) {
 	is := is.New(t)
 	s := newScriptedTarget(t, func(s *scriptedTarget, conn net.Conn, reader *bufio.Reader) {
 		refused := ""
 		for {
-			id, ok := nextID(reader)
+			id, ok := readRequestID(reader)
 			switch {
 			case !ok:
 				return
@@ -206,15 +208,15 @@
 	is.Equal(classify(sendRequest(target, "b")), result.OK)
 }
 
-// A connection is closed after a rejection that does not name its request, because the
-// next rejection on it could be a duplicate of the first.
-func TestRefusalWithoutAnIDEndsItsConnection(t *testing.T) {
+// A connection is closed after a rejection that does not name its request, because the next
+// rejection on that connection could be a duplicate of the first.
+func TestRefusalWithoutIDClosesConnection(t *testing.T) {
 	is := is.New(t)
-	unnamed := "HTTP/1.1 503 Service Unavailable\r\n" + notRunMark + ": 1\r\nContent-Length: 0\r\n\r\n"
+	unnamed := "HTTP/1.1 503 Service Unavailable\r\n" + notRunHeader + ": 1\r\nContent-Length: 0\r\n\r\n"
 	s := newScriptedTarget(t, func(s *scriptedTarget, conn net.Conn, reader *bufio.Reader) {
 		first := s.connections() == 1
 		for {
-			id, ok := nextID(reader)
+			id, ok := readRequestID(reader)
 			if !ok {
 				return
 			}
@@ -234,7 +236,7 @@
 
 // Endless heads, interim answers and bodies are cut off by memory limits. The connection
 // is closed, so that the target's writes fail.
-func TestEndlessAnswersAreCutOff(t *testing.T) {
+func TestEndlessAnswerIsAborted(t *testing.T) {
 	piece := strings.Repeat("x", 32<<10)
 	for _, tc := range []struct{ name, prefix, repeated string }{
 		{"bytes that are no answer", "", piece},
@@ -250,7 +252,7 @@
 			is := is.New(t)
 			written := make(chan int, 1)
 			s := newScriptedTarget(t, func(_ *scriptedTarget, conn net.Conn, reader *bufio.Reader) {
-				if _, ok := nextID(reader); !ok {
+				if _, ok := readRequestID(reader); !ok {
 					return
 				}
 				_, err := io.WriteString(conn, tc.prefix)
--- a/internal/local/attempt.go
+++ b/internal/local/attempt.go
@@ -31,8 +31,8 @@
 	gateDecision chan admit.Release
 	done         chan struct{}
 	answer       *relaypb.CarryResponse
-	// queueTime is the time spent waiting for a slot and targetTime the time spent in
-	// the target, for logging.
+	// queueTime is the time spent waiting for a slot, and targetTime the time spent in the
+	// target, for logFailure.
 	queueTime  time.Duration
 	targetTime time.Duration
 
@@ -216,12 +216,12 @@
 	return a.awaitSlot(ctx)
 }
 
-// position returns the call's place in the shedding order within its importance. Where
-// targets announce themselves, the calls that they make do not name the request that
-// they belong to. Each would draw a place of its own, and a request that needs several
-// such calls would fail by the worst place drawn. These calls therefore all get place 0:
-// they are queued in order of arrival, behind the requests of callers. The server's mutex
-// must be held.
+// position returns the call's position in the shedding order within its importance. The
+// calls made by targets that announce themselves do not name the request that they belong
+// to. Each would draw a position of its own, and a request that needs several such calls
+// would fail by the worst position drawn. These calls therefore all get position 0: they
+// are queued in order of arrival, behind the requests of callers. The server's mutex must
+// be held.
 func (a *attempt) position() uint16 {
 	if a.server.settings.CheckTarget != nil && a.server.origins.isInternal(a.request.Kind) {
 		return 0
--- a/internal/local/onward.go
+++ b/internal/local/forward.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// forwardable reports whether a refusal applies to the local target only, so that
+// forwardable reports whether a rejection applies to the local target only, so that
 // another target may still run the call.
 func forwardable(code result.Code) bool {
 	switch code {
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -143,7 +143,7 @@
 // Run ticks the gate and drops expired records until the context ends.
 func (s *Server) Run(ctx context.Context) {
 	period := idlePeriod
-	forgetAt := s.settings.Clock.Now().Add(maintenancePeriod)
+	maintainAt := s.settings.Clock.Now().Add(maintenancePeriod)
 	for {
 		due := s.settings.Clock.Now().Add(period)
 		select {
@@ -155,8 +155,8 @@
 			// A call was queued: tick at once, and then every tickPeriod.
 		}
 		period = s.tick()
-		if now := s.settings.Clock.Now(); !now.Before(forgetAt) {
-			forgetAt = now.Add(maintenancePeriod)
+		if now := s.settings.Clock.Now(); !now.Before(maintainAt) {
+			maintainAt = now.Add(maintenancePeriod)
 			s.maintain()
 		}
 	}
@@ -416,9 +416,9 @@
 	s.settings.Log.Debug("gate_load", "in_flight", load.InFlight, "limit", load.Limit, "queued", load.Queued, "offered", load.Offered, "cold", load.Cold)
 	s.settings.AttemptRecords.Forget(now)
 	s.settings.Ledger.Forget(now)
-	book := s.settings.AttemptRecords.Stats()
-	s.settings.Metrics.RecordBytes.Set(float64(book.Bytes + s.settings.Ledger.Stats().Bytes))
-	s.monitor.check(book, s.settings.AttemptRecords.MaxBytes())
+	records := s.settings.AttemptRecords.Stats()
+	s.settings.Metrics.RecordBytes.Set(float64(records.Bytes + s.settings.Ledger.Stats().Bytes))
+	s.monitor.check(records, s.settings.AttemptRecords.MaxBytes())
 	s.monitor.reportUsage(now, s.started, s.requests())
 	s.settings.Metrics.HeldBytes.Set(float64(s.settings.Target.HeldBytes()))
 }
--- a/internal/local/local_test.go
+++ b/internal/local/local_test.go
@@ -113,7 +113,7 @@
 
 // Once the node has reported an attempt as never seen, that attempt must not run when it
 // arrives later.
-func TestLateArrivalAfterNeverSeenIsRefused(t *testing.T) {
+func TestAttemptReportedNeverSeenIsRefused(t *testing.T) {
 	is := is.New(t)
 	target := newRawTarget(t)
 	target.answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -141,7 +141,7 @@
 
 // When the target hangs, its node remains the owner of its keys: it forwards their calls
 // to another target and answers repeats from its records.
-func TestKeysOfAStoppedTargetGoOnward(t *testing.T) {
+func TestKeyedCallOfStoppedTargetIsForwarded(t *testing.T) {
 	is := is.New(t)
 	target := newRawTarget(t)
 	// The raw target closes each connection after its answer and must announce this,
--- a/internal/local/watch.go
+++ b/internal/local/monitor.go
@@ -19,7 +19,8 @@
 	// maxLate is the largest delay of a timer since the last check.
 	maxLate time.Duration
 	behind  bool
-	// refused is the count of attempts rejected for lack of memory, as of the last check.
+	// refused is the number of attempts that had been rejected for lack of memory at the
+	// last check.
 	refused int64
 	full    bool
 	// lastUsage is the usage at the last report, and lastReport the time of that report.
@@ -32,8 +33,8 @@
 	cpu time.Duration
 	// gc is the share of the garbage collector in cpu.
 	gc time.Duration
-	// attempts counts the attempts received for the target, and requests the requests
-	// received from callers and from the target.
+	// attempts counts the attempts that the node has started, and requests the requests
+	// that it has received from callers and from the target.
 	attempts int64
 	requests int64
 }
@@ -49,46 +50,46 @@
 const lateThreshold = 100 * time.Millisecond
 
 // observeTimer records by how much a timer fired late.
-func (w *selfMonitor) observeTimer(late time.Duration) {
-	w.metrics.TimerLate.Observe(max(late, 0).Seconds())
-	w.maxLate = max(w.maxLate, late)
+func (m *selfMonitor) observeTimer(late time.Duration) {
+	m.metrics.TimerLate.Observe(max(late, 0).Seconds())
+	m.maxLate = max(m.maxLate, late)
 }
 
 // check logs each start and end of a shortage. It is called once a second.
-func (w *selfMonitor) check(book dedup.Stats, maxBytes int64) {
-	w.metrics.AttemptRecordsUsed.Set(float64(book.Bytes) / float64(max(maxBytes, 1)))
-	refused := book.Refused - w.refused
-	w.refused = book.Refused
-	if full := refused > 0; full != w.full {
-		w.full = full
-		w.log.Warn("attempt_records_full", "full", full, "refused", refused,
-			"entries", book.Entries, "running", book.Running, "bytes", book.Bytes, "max_bytes", maxBytes)
+func (m *selfMonitor) check(records dedup.Stats, maxBytes int64) {
+	m.metrics.AttemptRecordsUsed.Set(float64(records.Bytes) / float64(max(maxBytes, 1)))
+	refused := records.Refused - m.refused
+	m.refused = records.Refused
+	if full := refused > 0; full != m.full {
+		m.full = full
+		m.log.Warn("attempt_records_full", "full", full, "refused", refused,
+			"entries", records.Entries, "running", records.Running, "bytes", records.Bytes, "max_bytes", maxBytes)
 	}
-	if behind := w.maxLate > lateThreshold; behind != w.behind {
-		w.behind = behind
-		w.log.Warn("node_behind", "behind", behind, "late_ms", w.maxLate.Milliseconds())
+	if behind := m.maxLate > lateThreshold; behind != m.behind {
+		m.behind = behind
+		m.log.Warn("node_behind", "behind", behind, "late_ms", m.maxLate.Milliseconds())
 	}
-	w.maxLate = 0
+	m.maxLate = 0
 }
 
 // reportUsage logs every usagePeriod what the process has used since the last report,
 // together with the work done, so that the cost per call can be told from the idle cost.
-func (w *selfMonitor) reportUsage(now time.Time, attempts, requests int64) {
-	if !w.lastReport.IsZero() && now.Sub(w.lastReport) < usagePeriod {
+func (m *selfMonitor) reportUsage(now time.Time, attempts, requests int64) {
+	if !m.lastReport.IsZero() && now.Sub(m.lastReport) < usagePeriod {
 		return
 	}
 	used := usage{cpu: cpuTime(), gc: gcTime(), attempts: attempts, requests: requests}
-	if !w.lastReport.IsZero() {
-		w.log.Info("node_usage",
-			"period_ms", now.Sub(w.lastReport).Milliseconds(),
-			"processor_ms", (used.cpu - w.lastUsage.cpu).Milliseconds(),
-			"collector_ms", (used.gc - w.lastUsage.gc).Milliseconds(),
-			"attempts", attempts-w.lastUsage.attempts,
-			"requests", requests-w.lastUsage.requests,
+	if !m.lastReport.IsZero() {
+		m.log.Info("node_usage",
+			"period_ms", now.Sub(m.lastReport).Milliseconds(),
+			"processor_ms", (used.cpu - m.lastUsage.cpu).Milliseconds(),
+			"collector_ms", (used.gc - m.lastUsage.gc).Milliseconds(),
+			"attempts", attempts-m.lastUsage.attempts,
+			"requests", requests-m.lastUsage.requests,
 		)
 	}
-	w.lastUsage = used
-	w.lastReport = now
+	m.lastUsage = used
+	m.lastReport = now
 }
 
 // cpuTime returns the CPU time that this process has used, or 0 if the system does not
--- a/internal/local/watch_test.go
+++ b/internal/local/monitor_test.go
@@ -14,22 +14,22 @@
 
 // A node that is short of CPU time or of memory for attempt records logs the start and the
 // end of the shortage, not every second of it.
-func TestShortageIsLoggedOnceEachWay(t *testing.T) {
+func TestShortageStartAndEndAreLogged(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
-	w := &selfMonitor{metrics: metric.New(), log: hclog.New(&hclog.LoggerOptions{Output: &out})}
+	m := &selfMonitor{metrics: metric.New(), log: hclog.New(&hclog.LoggerOptions{Output: &out})}
 	lines := func() int { return strings.Count(out.String(), "\n") }
-	w.observeTimer(time.Millisecond)
-	w.check(dedup.Stats{}, 100)
+	m.observeTimer(time.Millisecond)
+	m.check(dedup.Stats{}, 100)
 	is.Equal(lines(), 0)
 	for second := range 3 {
-		w.observeTimer(200 * time.Millisecond)
-		w.check(dedup.Stats{Refused: int64(second + 1), Bytes: 100}, 100)
+		m.observeTimer(200 * time.Millisecond)
+		m.check(dedup.Stats{Refused: int64(second + 1), Bytes: 100}, 100)
 	}
 	is.Equal(lines(), 2)
 	is.True(strings.Contains(out.String(), "attempt_records_full: full=true refused=1"))
 	is.True(strings.Contains(out.String(), "node_behind: behind=true late_ms=200"))
-	w.check(dedup.Stats{Refused: 3}, 100)
+	m.check(dedup.Stats{Refused: 3}, 100)
 	is.Equal(lines(), 4)
 	is.True(strings.Contains(out.String(), "attempt_records_full: full=false"))
 	is.True(strings.Contains(out.String(), "node_behind: behind=false"))
@@ -40,12 +40,12 @@
 func TestUsageIsLoggedOncePerPeriod(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
-	w := &selfMonitor{metrics: metric.New(), log: hclog.New(&hclog.LoggerOptions{Output: &out})}
+	m := &selfMonitor{metrics: metric.New(), log: hclog.New(&hclog.LoggerOptions{Output: &out})}
 	start := time.Unix(1_800_000_000, 0)
-	w.reportUsage(start, 5, 7)
+	m.reportUsage(start, 5, 7)
 	is.Equal(out.String(), "") // there is no earlier report to compare with
 	for second := range 20 {
-		w.reportUsage(start.Add(time.Duration(second+1)*time.Second), 5+int64(second), 7+2*int64(second))
+		m.reportUsage(start.Add(time.Duration(second+1)*time.Second), 5+int64(second), 7+2*int64(second))
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	is.Equal(len(lines), 2)
--- a/internal/local/origin.go
+++ b/internal/local/origin.go
@@ -8,7 +8,7 @@
 // of one or two services.
 type origins struct {
 	byKind map[string]map[string]float64
-	// lastKnown holds the last verdict on each kind. It stays while there are too few
+	// lastKnown holds the last verdict on each kind, which stands while there are too few
 	// calls for a new one: a throttle that mistakes calls of targets for requests of
 	// callers admits next to none, so the verdict would never be corrected.
 	lastKnown map[string]bool
@@ -57,7 +57,8 @@
 	return o.lastKnown[kind]
 }
 
-// fromSubset reports whether some service sends other kinds and next to none of this one.
+// fromSubset reports whether some service sends calls of other kinds, but next to none of
+// this one.
 func (o *origins) fromSubset(kind string, sum float64) bool {
 	if sum < minSubsetOrigins {
 		return false
--- a/internal/local/origin_test.go
+++ b/internal/local/origin_test.go
@@ -9,7 +9,7 @@
 
 // A node recognises internal calls even if a throttle admits only a few of them, here
 // three per second, and remembers the verdict when the calls stop.
-func TestCallsOfTargetsAreKnownByFew(t *testing.T) {
+func TestFewCallsSufficeForInternalKind(t *testing.T) {
 	is := is.New(t)
 	o := newOrigins()
 	for range 10 {
@@ -31,7 +31,7 @@
 }
 
 // Callers spread their requests evenly over all nodes.
-func TestRequestsOfCallersAreNotTakenForCallsOfTargets(t *testing.T) {
+func TestEvenOriginsAreNotInternal(t *testing.T) {
 	is := is.New(t)
 	o := newOrigins()
 	services := []string{"orders", "stock", "lines"}
@@ -41,9 +41,9 @@
 	is.True(!o.isInternal("direct"))
 }
 
-// After a change of weights, orders run at two services, and both make the same calls.
-// The calls count as internal as long as other services make none of them.
-func TestCallsOfTwoServicesAreCallsOfTargets(t *testing.T) {
+// After a change of weights, orders run at two services, and both make the same calls. The
+// calls count as internal as long as other services make none of them.
+func TestCallsOfTwoServicesAreInternal(t *testing.T) {
 	is := is.New(t)
 	o := newOrigins()
 	services := []string{"orders", "stock", "lines", "rounds"}
@@ -56,7 +56,7 @@
 }
 
 // Random unevenness in the origins of callers' requests does not make them internal.
-func TestUnevenRequestsOfCallersAreNotTakenForCallsOfTargets(t *testing.T) {
+func TestRandomUnevennessIsNotInternal(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	services := []string{"orders", "stock", "lines", "rounds"}
 	for range 1000 {
--- a/internal/local/order_test.go
+++ b/internal/local/position_test.go
@@ -11,9 +11,9 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// Where targets announce themselves, the calls that they make, all from one service, are
-// queued in order of arrival whatever place they drew, behind the requests of callers.
-func TestCallsOfTargetsWaitByArrival(t *testing.T) {
+// Calls made by targets that announce themselves are queued in order of arrival, behind the
+// requests of callers, whatever position they drew.
+func TestInternalCallsQueueInArrivalOrder(t *testing.T) {
 	is := is.New(t)
 	target := newRawTarget(t)
 	target.answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -39,7 +39,7 @@
 	is.Equal(position(announced, "inner", 60_000), uint16(0))
 	is.Equal(position(announced, "inner", 3), uint16(0))
 	is.Equal(position(announced, "direct", 3), uint16(3))
-	is.Equal(position(unannounced, "inner", 60_000), uint16(60_000)) // without announcements, calls inherit the place of their request
+	is.Equal(position(unannounced, "inner", 60_000), uint16(60_000)) // without announcements, calls inherit the position of their request
 	close(target.hang)
 	<-announced.Drained()
 	<-unannounced.Drained()
--- a/internal/local/repeat.go
+++ b/internal/local/retry.go
@@ -10,7 +10,7 @@
 // retryRule returns the current rule of the retry budget, which changes with the members
 // of the mesh. The node beside a target keeps the budget for all senders, because only
 // this node sees every attempt that reaches the target. A sender with few requests of
-// its own can retry them from what the others leave unused.
+// its own can retry them from the budget that the others leave unused.
 func (s *Server) retryRule() budget.Rule {
 	if s.settings.RetryRule == nil {
 		return budget.Rule{}
@@ -42,7 +42,7 @@
 
 // withinRetryBudget calls check for an attempt that is a retry, and returns true for any
 // other attempt.
-func (a *attempt) withinRetryBudget(check func(w *budget.Window, now time.Time, repeat budget.Retry) bool) bool {
+func (a *attempt) withinRetryBudget(check func(w *budget.Window, now time.Time, retry budget.Retry) bool) bool {
 	s := a.server
 	if s.retryWindow == nil || a.request.Earlier < relaypb.Earlier_EARLIER_SHED {
 		return true
--- a/internal/local/repeat_test.go
+++ b/internal/local/retry_test.go
@@ -19,7 +19,7 @@
 
 // The node beside the target admits as many retries as the requests of all senders allow,
 // and excess retries do not reach the target.
-func TestBudgetOfRepeatsIsKeptBesideTheTarget(t *testing.T) {
+func TestRetryBudgetIsSharedBySenders(t *testing.T) {
 	is := is.New(t)
 	var arrived atomic.Int32
 	target := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { arrived.Add(1) }))
--- a/internal/local/target.go
+++ b/internal/local/target.go
@@ -31,14 +31,14 @@
 	// Wire is the protocol by which a node and its target exchange metadata about a call.
 	// The zero value is the project's default protocol.
 	Wire struct {
-		// IDHeader is the answer header that names the request, and Hidden a header of
-		// the caller that is not passed to the target.
+		// IDHeader is the answer header that names the request, and HiddenHeader a
+		// header of the caller that is not passed to the target.
 		IDHeader     string
 		HiddenHeader string
 		// Headers returns the headers that describe a call to the target. They replace the
 		// caller's headers of the same names. If it is nil, ContextHeader and
 		// TimeLeftHeader are set.
-		Headers func(about CallInfo) httpc.Fields
+		Headers func(info CallInfo) httpc.Fields
 		// Classify classifies the head of an answer. If it is nil, the answer is classified
 		// by its status.
 		Classify func(requestID string, status int, header httpc.Fields) Disposition
@@ -47,7 +47,7 @@
 	// CallInfo describes a call to a target.
 	CallInfo struct {
 		RequestID string
-		// CallerService is the service from whose host the request comes.
+		// CallerService is the service whose node sent the request.
 		CallerService string
 		// TargetID is the id of the target process to which the call is addressed.
 		TargetID string
@@ -59,7 +59,7 @@
 	Disposition uint8
 )
 
-// The values of Mark.
+// These are the dispositions.
 const (
 	// Answered means that the target answered the call.
 	Answered Disposition = iota
@@ -161,7 +161,7 @@
 	reply.Facts.Sent = call.Sent
 	if call.Err != nil {
 		reply.Detail = call.Err.Error()
-		t.noteInterruption(ctx, reply)
+		t.recordInterruption(ctx, reply)
 		return reply
 	}
 	reply.Status = call.Response.Status
@@ -179,8 +179,8 @@
 	return reply
 }
 
-// readBody reads the complete body, or records in the facts why this failed. A length of
-// -1 means that it is not known.
+// readBody reads the complete body, or records in the facts why this failed. A length of -1
+// means that the length is not known.
 func (t *Target) readBody(ctx context.Context, reply *Reply, body io.Reader, length, maxBytes int64) {
 	if length >= 0 && length <= min(maxBytes, readChunkBytes) {
 		t.readSized(ctx, reply, body, length)
@@ -192,7 +192,7 @@
 // readSized reads a body of a known length into one allocation. A growing buffer needs
 // nearly three times the memory and a final copy; it took a tenth of all memory that
 // calls allocated.
-func (t *Target) readSized(ctx context.Context, reply *Reply, from io.Reader, length int64) {
+func (t *Target) readSized(ctx context.Context, reply *Reply, reader io.Reader, length int64) {
 	if t.held.bytes.Load() > t.held.limit() {
 		reply.Facts.TooLarge = true
 		reply.Detail = errHeldLimit.Error()
@@ -201,9 +201,9 @@
 	t.held.bytes.Add(length)
 	defer t.held.bytes.Add(-length)
 	body := make([]byte, length)
-	if _, err := io.ReadFull(from, body); err != nil {
+	if _, err := io.ReadFull(reader, body); err != nil {
 		reply.Detail = err.Error()
-		t.noteInterruption(ctx, reply)
+		t.recordInterruption(ctx, reply)
 		return
 	}
 	reply.Facts.BodyComplete = true
@@ -257,7 +257,7 @@
 		}
 		if err != nil {
 			reply.Detail = err.Error()
-			t.noteInterruption(ctx, reply)
+			t.recordInterruption(ctx, reply)
 			return
 		}
 		if n == 0 {
@@ -266,9 +266,9 @@
 	}
 }
 
-// noteInterruption records in the facts whether the call ended because its deadline
+// recordInterruption records in the facts whether the call ended because its deadline
 // passed or it was cancelled.
-func (t *Target) noteInterruption(ctx context.Context, reply *Reply) {
+func (t *Target) recordInterruption(ctx context.Context, reply *Reply) {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		reply.Facts.TimedOut = true
--- a/internal/local/target_test.go
+++ b/internal/local/target_test.go
@@ -12,36 +12,36 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
-// A body of known length needs little more memory than its own size. Memory and garbage
-// collection per call limit the load that a node can carry in a surge.
-func TestBodyOfKnownLengthTakesItsOwnMemory(t *testing.T) {
+// Reading a body of known length allocates little more memory than the length. Memory and
+// garbage collection per call limit the load that a node can carry in a surge.
+func TestBodyOfKnownLengthAllocatesLittle(t *testing.T) {
 	is := is.New(t)
 	const (
-		runs        = 200
-		bytesOfBody = 5000
-		overhead    = 1000
+		runs      = 200
+		bodyBytes = 5000
+		overhead  = 1000
 	)
-	whole := bytes.Repeat([]byte("x"), bytesOfBody)
+	body := bytes.Repeat([]byte("x"), bodyBytes)
 	target := NewTarget("127.0.0.1:1", 1, NewHeldMemory(func() int64 { return 1 << 20 }))
 	read := func() *Reply {
 		reply := &Reply{}
-		target.readBody(context.Background(), reply, bytes.NewReader(whole), bytesOfBody, 1<<20)
+		target.readBody(context.Background(), reply, bytes.NewReader(body), bodyBytes, 1<<20)
 		return reply
 	}
-	is.True(bytes.Equal(read().Body, whole))
+	is.True(bytes.Equal(read().Body, body))
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range runs {
 		is.True(read().Facts.BodyComplete)
 	}
 	runtime.ReadMemStats(&after)
-	each := (after.TotalAlloc - before.TotalAlloc) / runs
-	is.True(each < bytesOfBody+overhead)
+	perBody := (after.TotalAlloc - before.TotalAlloc) / runs
+	is.True(perBody < bodyBytes+overhead)
 	is.Equal(target.HeldBytes(), int64(0))
 }
 
 // A body that ends before its announced length is not complete.
-func TestShortBodyIsNotWhole(t *testing.T) {
+func TestShortBodyIsIncomplete(t *testing.T) {
 	is := is.New(t)
 	target := NewTarget("127.0.0.1:1", 1, NewHeldMemory(func() int64 { return 1 << 20 }))
 	reply := &Reply{}
@@ -53,12 +53,12 @@
 
 // The headers that a node sets replace the caller's headers of the same name, and the
 // hidden header is not forwarded.
-func TestTargetSeesTheNodesOwnHeadersOnly(t *testing.T) {
+func TestNodeHeadersReplaceCallerHeaders(t *testing.T) {
 	is := is.New(t)
 	target := NewTarget("127.0.0.1:1", 1, NewHeldMemory(func() int64 { return 1 << 20 }))
 	target.Wire = Wire{
 		HiddenHeader: "Dandelion-Deadline",
-		Headers:      func(about CallInfo) httpc.Fields { return httpc.Fields{{Name: "Target", Value: about.TargetID}} },
+		Headers:      func(info CallInfo) httpc.Fields { return httpc.Fields{{Name: "Target", Value: info.TargetID}} },
 	}
 	request := target.buildRequest(context.Background(), "", &relaypb.CarryRequest{
 		Method: "GET", Path: "/a?b=c", Incarnation: "node/i-1",
