--- a/internal/filter/door_test.go
+++ b/internal/filter/admission_test.go
@@ -79,7 +79,8 @@
 deadline: 2s
 `
 
-// admissionCase is one request while the floor of lots admits only high importance.
+// admissionCase is one request while the floor of the service lots admits only high
+// importance.
 type admissionCase struct {
 	name, method, path string
 	// handle is the context handle of the call that the request belongs to, if any.
@@ -91,41 +92,41 @@
 // A request that the third service of its chain would reject is rejected at the entry.
 // Requests that do not reach that service, more important requests, and calls of a request
 // in flight, for which work has already been done, are admitted.
-func TestDoorHeedsTheFloorsOfTheWholeChain(t *testing.T) {
+func TestEntryChecksFloorsOfWholeChain(t *testing.T) {
 	set, err := schema.Parse("declarations", []byte(chainKinds))
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Unix(1_800_000_000, 0)
-	door := admit.NewEntryGate()
-	door.Learn(now, "lots", "node-lots-1", admit.Order(schema.High, 0), 0)
+	entryGate := admit.NewEntryGate()
+	entryGate.Learn(now, "lots", "node-lots-1", admit.Order(schema.High, 0), 0)
 	for _, tc := range []admissionCase{
-		{"two calls above the full service", http.MethodPost, "/rounds", "", result.DoorClosed, "lots"},
-		{"one call above it", http.MethodGet, "/stock", "", result.DoorClosed, "lots"},
-		{"of the same service, but without calls", http.MethodGet, "/rounds", "", result.OK, ""},
-		{"more important", http.MethodPost, "/feasts", "", result.OK, ""},
-		{"part of a request under way", http.MethodGet, "/stock", "known", result.OK, ""},
+		{"two hops before the overloaded service", http.MethodPost, "/rounds", "", result.DoorClosed, "lots"},
+		{"one hop before the overloaded service", http.MethodGet, "/stock", "", result.DoorClosed, "lots"},
+		{"same service without calls", http.MethodGet, "/rounds", "", result.OK, ""},
+		{"higher importance", http.MethodPost, "/feasts", "", result.OK, ""},
+		{"call of a request in flight", http.MethodGet, "/stock", "known", result.OK, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			answer := runAdmissionCase(set, door, now, tc)
+			answer := runAdmissionCase(set, entryGate, now, tc)
 			is.Equal(answer.Code, tc.want)
 			is.Equal(answer.Detail, tc.detail) // the service that would reject the request
 		})
 	}
 }
 
-func runAdmissionCase(set *schema.Set, door *admit.EntryGate, now time.Time, tc admissionCase) *call.Answer {
-	inward := newTestFilters(now, func() *Rules { return rulesOf(set) })
-	inward.Serving = func(handle string) (*call.Serving, bool) {
+func runAdmissionCase(set *schema.Set, entryGate *admit.EntryGate, now time.Time, tc admissionCase) *call.Answer {
+	inbound := newTestFilters(now, func() *Rules { return rulesOf(set) })
+	inbound.Serving = func(handle string) (*call.Serving, bool) {
 		return &call.Serving{Deadline: now.Add(time.Second), Tokens: call.NewTokens(0)}, handle == "known"
 	}
-	inward.ChainAdmits = func(services []string, order uint32) (string, bool) {
-		return door.Allows(now, services, order)
+	inbound.ChainAdmits = func(services []string, order uint32) (string, bool) {
+		return entryGate.Allows(now, services, order)
 	}
 	request := httptest.NewRequest(tc.method, tc.path, nil)
 	request.Header.Set(local.ContextHeader, tc.handle)
-	chain := Chain(inward.Filters(), func(context.Context, *Exchange) *call.Answer {
+	chain := Chain(inbound.Filters(), func(context.Context, *Exchange) *call.Answer {
 		return &call.Answer{Code: result.OK}
 	})
 	return chain(context.Background(), &Exchange{Request: request, Call: &call.Call{}})
--- a/internal/filter/filter_test.go
+++ b/internal/filter/filter_test.go
@@ -62,11 +62,11 @@
 	return nil
 }
 
-// TestInward sends requests through the chain and prints the result and the call that
-// leaves the chain. One call is in flight: it has the handle "known" and belongs to a
+// TestInboundFilters sends requests through the chain and prints the result and the call
+// that leaves the chain. One call is in flight: it has the handle "known" and belongs to a
 // critical request with 0.5 s and 2 retry tokens left.
-func TestInward(t *testing.T) {
-	datadriven.RunTest(t, "testdata/inward", func(t *testing.T, d *datadriven.TestData) string {
+func TestInboundFilters(t *testing.T) {
+	datadriven.RunTest(t, "testdata/inbound", func(t *testing.T, d *datadriven.TestData) string {
 		now := time.Unix(1_800_000_000, 0)
 		parent := &call.Serving{
 			RequestID:  "parent",
@@ -75,14 +75,14 @@
 			Deadline:   now.Add(500 * time.Millisecond),
 			Tokens:     call.NewTokens(2),
 		}
-		inward := newInward(t, d, now, parent)
+		inbound := newInbound(t, d, now, parent)
 		request := readRequest(d)
 		exchange := &Exchange{Request: request, Call: &call.Call{}, Remote: "127.0.0.1"}
 		if d.HasArg("remote") {
 			d.ScanArgs(t, "remote", &exchange.Remote)
 		}
 		var left string
-		chain := Chain(inward.Filters(), func(_ context.Context, e *Exchange) *call.Answer {
+		chain := Chain(inbound.Filters(), func(_ context.Context, e *Exchange) *call.Answer {
 			left = describeCall(e.Call, now)
 			return &call.Answer{Code: result.OK}
 		})
@@ -95,7 +95,7 @@
 	})
 }
 
-func newInward(t *testing.T, d *datadriven.TestData, now time.Time, parent *call.Serving) *Inbound {
+func newInbound(t *testing.T, d *datadriven.TestData, now time.Time, parent *call.Serving) *Inbound {
 	t.Helper()
 	set, err := schema.Parse("declarations", []byte(declarations))
 	if err != nil {
@@ -105,18 +105,18 @@
 	if d.HasArg("no_rules") {
 		rules = nil
 	}
-	inward := newTestFilters(now, func() *Rules { return rules })
-	inward.Serving = func(handle string) (*call.Serving, bool) {
+	inbound := newTestFilters(now, func() *Rules { return rules })
+	inbound.Serving = func(handle string) (*call.Serving, bool) {
 		if handle == "known" {
 			return parent, true
 		}
 		return nil, false
 	}
-	inward.TargetHost = "127.0.0.1"
-	inward.ChainAdmits = func(services []string, _ uint32) (string, bool) {
+	inbound.TargetHost = "127.0.0.1"
+	inbound.ChainAdmits = func(services []string, _ uint32) (string, bool) {
 		return services[0], !d.HasArg("closed")
 	}
-	return inward
+	return inbound
 }
 
 // newTestFilters returns filters with the given rules and no call in flight, which admit
--- a/internal/filter/inward.go
+++ b/internal/filter/inbound.go
@@ -29,11 +29,11 @@
 	Limits   schema.Limits
 	// Match finds the kind by the method and the path.
 	Match func(method, path string) (*schema.Kind, bool)
-	// MatchPrefix finds the kind by the host and a prefix of the path as it was sent. It may
-	// be nil.
+	// MatchPrefix finds the kind by the host and a prefix of the path as it was sent. It
+	// may be nil.
 	MatchPrefix func(host, path string) (*schema.Kind, bool)
-	// SplitPart returns the part of a split kind to which the next request belongs. It may be
-	// nil.
+	// SplitPart returns the part of a split kind to which the next request belongs. It may
+	// be nil.
 	SplitPart func(kind *schema.Kind) *schema.Kind
 	// Chain returns the services that a request of a kind is known to reach, its own
 	// first.
@@ -64,8 +64,8 @@
 	// is nil, none are logged.
 	FailureLimiter *loglim.Limiter
 	// Throttle decides whether a new request of a kind is admitted, and returns the share
-	// of such requests that is. Ended receives the result of each admitted request. If
-	// Throttle is nil, all requests are admitted.
+	// of such requests that are admitted. Ended receives the result of each admitted
+	// request. If Throttle is nil, all requests are admitted.
 	Throttle func(kind *schema.Kind) (share float64, ok bool)
 	Ended    func(kind *schema.Kind, code result.Code)
 }
@@ -85,34 +85,34 @@
 )
 
 // Filters returns the filters in the order in which they run.
-func (f *Inbound) Filters() []Filter {
+func (in *Inbound) Filters() []Filter {
 	return []Filter{
-		{Name: "record", Run: f.record},
+		{Name: "record", Run: in.record},
 		{Name: "repeated", Run: guardRepeats},
-		{Name: "classify", Run: f.classify},
-		{Name: "inherit", Run: f.inherit},
-		{Name: "key", Run: f.key},
-		{Name: "body", Run: f.body},
-		{Name: "door", Run: f.checkAdmission},
+		{Name: "classify", Run: in.classify},
+		{Name: "inherit", Run: in.inherit},
+		{Name: "key", Run: in.key},
+		{Name: "body", Run: in.body},
+		{Name: "door", Run: in.checkAdmission},
 	}
 }
 
 // record counts and logs every request with its result.
-func (f *Inbound) record(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
-	began := f.Clock.Now()
+func (in *Inbound) record(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
+	began := in.Clock.Now()
 	answer := next(ctx, exchange)
 	kind := "unknown"
 	if exchange.Call.Kind != nil {
 		kind = exchange.Call.Kind.Name
 	}
-	took := f.Clock.Now().Sub(began)
-	f.Metrics.Requests.WithLabelValues(kind, answer.Code.String()).Inc()
-	f.Metrics.RequestSeconds.WithLabelValues(kind).Observe(took.Seconds())
-	f.logFailure(exchange.Call, kind, answer, took)
-	if !f.Log.IsDebug() {
+	took := in.Clock.Now().Sub(began)
+	in.Metrics.Requests.WithLabelValues(kind, answer.Code.String()).Inc()
+	in.Metrics.RequestSeconds.WithLabelValues(kind).Observe(took.Seconds())
+	in.logFailure(exchange.Call, kind, answer, took)
+	if !in.Log.IsDebug() {
 		return answer
 	}
-	f.Log.Debug("request_ended",
+	in.Log.Debug("request_ended",
 		"request", exchange.Call.RequestID,
 		"kind", kind,
 		"result", answer.Code.String(),
@@ -127,15 +127,15 @@
 // logFailure logs a request that was not completed or took more than one attempt, with
 // the state that led to its result. The lines per second are limited for each result, and
 // the next line tells how many were left out.
-func (f *Inbound) logFailure(c *call.Call, kind string, answer *call.Answer, took time.Duration) {
-	if f.FailureLimiter == nil || answer.Code == result.OK && len(c.Steps) < 2 {
+func (in *Inbound) logFailure(c *call.Call, kind string, answer *call.Answer, took time.Duration) {
+	if in.FailureLimiter == nil || answer.Code == result.OK && len(c.Steps) < 2 {
 		return
 	}
-	leftOut, ok := f.FailureLimiter.Allow(f.Clock.Now(), answer.Code.String())
+	leftOut, ok := in.FailureLimiter.Allow(in.Clock.Now(), answer.Code.String())
 	if !ok {
 		return
 	}
-	f.Log.Info("request_failed",
+	in.Log.Info("request_failed",
 		"request", c.RequestID,
 		"kind", kind,
 		"result", answer.Code.String(),
@@ -179,10 +179,10 @@
 }
 
 // classify determines the declared kind and the deadline.
-func (f *Inbound) classify(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
-	rules := f.Rules()
+func (in *Inbound) classify(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
+	rules := in.Rules()
 	switch {
-	case rules == nil && f.Leaving != nil && f.Leaving():
+	case rules == nil && in.Leaving != nil && in.Leaving():
 		return call.Refuse(result.Leaving, "")
 	case rules == nil:
 		return call.Refuse(result.NoConfiguration, "")
@@ -195,11 +195,11 @@
 	if rules.SplitPart != nil {
 		kind = rules.SplitPart(kind)
 	}
-	deadline, err := f.deadline(request, kind)
+	deadline, err := in.deadline(request, kind)
 	if err != nil {
 		return call.Refuse(result.BadRequest, DeadlineHeader+": "+err.Error())
 	}
-	if f.EndsInTime != nil && !f.EndsInTime(deadline) {
+	if in.EndsInTime != nil && !in.EndsInTime(deadline) {
 		return call.Refuse(result.Leaving, "it may take longer than the planned stop")
 	}
 	c := exchange.Call
@@ -216,7 +216,7 @@
 }
 
 // deadline returns the declared deadline, or the caller's if that is earlier.
-func (f *Inbound) deadline(request *http.Request, kind *schema.Kind) (time.Time, error) {
+func (in *Inbound) deadline(request *http.Request, kind *schema.Kind) (time.Time, error) {
 	left := kind.Deadline
 	if text := request.Header.Get(DeadlineHeader); text != "" {
 		requested, err := time.ParseDuration(text)
@@ -225,21 +225,21 @@
 		}
 		left = min(left, requested)
 	}
-	return f.Clock.Now().Add(left), nil
+	return in.Clock.Now().Add(left), nil
 }
 
 // inherit lets a call made by the target inherit the importance, position, deadline and
 // retry tokens of the call that the target serves. A handle is accepted only from the
 // target's host; without a valid handle the call is a new request.
-func (f *Inbound) inherit(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
+func (in *Inbound) inherit(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	c := exchange.Call
 	handle := exchange.Request.Header.Get(local.ContextHeader)
-	parent, ok := f.Serving(handle)
-	if handle == "" || !ok || exchange.Remote != f.TargetHost {
+	parent, ok := in.Serving(handle)
+	if handle == "" || !ok || exchange.Remote != in.TargetHost {
 		if c.RequestID == "" {
 			c.RequestID = uuid.NewString()
 		}
-		c.Position = admit.Position(f.positionSeed(exchange), f.Clock.Now())
+		c.Position = admit.Position(in.positionSeed(exchange), in.Clock.Now())
 		c.Tokens = call.NewTokens(c.Kind.Retries)
 		return next(ctx, exchange)
 	}
@@ -257,10 +257,10 @@
 	return answer
 }
 
-// positionSeed returns the text from which a new request's place in the shedding order is
-// derived. This is its idempotency key, so that a repeat neither gets a better place nor
-// is rejected while its first transmission runs, or without a key the id of the request.
-func (f *Inbound) positionSeed(exchange *Exchange) string {
+// positionSeed returns the text from which a new request's position in the shedding order is
+// derived: its idempotency key, or the id of the request if it has no key. With the key, a
+// repeat neither gets a better position nor is rejected while its first transmission runs.
+func (in *Inbound) positionSeed(exchange *Exchange) string {
 	if key := exchange.Request.Header.Get(KeyHeader); key != "" {
 		return key
 	}
@@ -271,7 +271,7 @@
 // retried. It removes FreshHeader: a target that copies its request headers to the calls
 // that it makes would otherwise claim that their keys are fresh, even when the target is
 // called a second time.
-func (f *Inbound) key(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
+func (in *Inbound) key(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	header := exchange.Request.Header
 	fresh := header.Get(FreshHeader) == "true"
 	header.Del(FreshHeader)
@@ -292,7 +292,7 @@
 }
 
 // body reads the complete body of the request, up to the declared size.
-func (f *Inbound) body(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
+func (in *Inbound) body(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	if exchange.Request.ContentLength == 0 {
 		return next(ctx, exchange)
 	}
@@ -313,37 +313,38 @@
 // before any work is done for it. A call made on behalf of a request in flight is not
 // rejected here, because work has already been done for that request; the node of the
 // called target decides.
-func (f *Inbound) checkAdmission(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
+func (in *Inbound) checkAdmission(ctx context.Context, exchange *Exchange, next Next) *call.Answer {
 	c := exchange.Call
-	share, ok := f.throttle(c)
+	share, ok := in.throttle(c)
 	c.Admitted = share
 	if !ok {
-		f.Metrics.Refusals.WithLabelValues(c.Kind.Service, metric.Throttled).Inc()
+		in.Metrics.Refusals.WithLabelValues(c.Kind.Service, metric.Throttled).Inc()
 		refused := call.Refuse(result.DoorClosed, metric.Throttled)
 		refused.Admitted = share
 		return refused
 	}
-	if c.Parent == nil && f.ChainAdmits != nil {
-		services := f.Rules().Chain(c.Kind.Name)
+	if c.Parent == nil && in.ChainAdmits != nil {
+		services := in.Rules().Chain(c.Kind.Name)
 		order := admit.Order(c.Importance, c.Position)
-		if service, ok := f.ChainAdmits(services, order); !ok {
-			f.Metrics.Refusals.WithLabelValues(service, result.DoorClosed.String()).Inc()
+		if service, ok := in.ChainAdmits(services, order); !ok {
+			in.Metrics.Refusals.WithLabelValues(service, result.DoorClosed.String()).Inc()
 			return call.Refuse(result.DoorClosed, service)
 		}
 	}
 	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
 	answer := next(ctx, exchange)
-	if f.Ended != nil && c.Parent == nil {
-		f.Ended(c.Kind, answer.Code)
+	if in.Ended != nil && c.Parent == nil {
+		in.Ended(c.Kind, answer.Code)
 	}
 	return answer
 }
 
-// throttle asks Admits about a new request. A call made on behalf of another always passes.
-func (f *Inbound) throttle(c *call.Call) (share float64, ok bool) {
-	if f.Throttle == nil || c.Parent != nil {
+// throttle asks Throttle about a new request. A call made on behalf of a request in flight
+// always passes.
+func (in *Inbound) throttle(c *call.Call) (share float64, ok bool) {
+	if in.Throttle == nil || c.Parent != nil {
 		return 1, true
 	}
-	return f.Throttle(c.Kind)
+	return in.Throttle(c.Kind)
 }
--- a/internal/filter/path.go
+++ b/internal/filter/path.go
@@ -11,10 +11,10 @@
 // slashEscaper encodes encoded slashes once more, so that they survive decoding.
 var slashEscaper = strings.NewReplacer("%2F", "%252F", "%2f", "%252f")
 
-// kindOf returns the kind of a request if all interpretations of its path lead to the
-// same kind. Targets differ in when they decode a path, and it is forwarded to them
-// unchanged. If the node and the target disagreed about the kind, a request could evade
-// its importance, or be retried although its kind must not be.
+// kindOf returns the kind of a request if all interpretations of its path lead to the same
+// kind. Targets differ in when they decode a path, and the node forwards the path
+// unchanged. If the node and the target disagreed about the kind, a request could evade its
+// importance, or be retried although its kind must not be.
 //
 //	/orders/7%2Fnotes   /orders/7/notes when decoded, but /orders/{order} for many targets
 //	/ord%65rs/7         /orders/7 when decoded, but not for a target that never decodes
@@ -33,15 +33,15 @@
 		return nil, false
 	}
 	escaped := requestURL.EscapedPath()
-	segments, err := url.PathUnescape(slashEscaper.Replace(escaped))
+	decodedSegments, err := url.PathUnescape(slashEscaper.Replace(escaped))
 	if err != nil {
 		return nil, false
 	}
-	for _, reading := range []string{segments, escaped} {
-		if reading == requestURL.Path {
+	for _, interpretation := range []string{decodedSegments, escaped} {
+		if interpretation == requestURL.Path {
 			continue
 		}
-		if other, ok := rules.Match(method, reading); !ok || other != kind {
+		if other, ok := rules.Match(method, interpretation); !ok || other != kind {
 			return nil, false
 		}
 	}
--- a/internal/filter/path_test.go
+++ b/internal/filter/path_test.go
@@ -21,8 +21,8 @@
 
 const pathsPerCheck = 50
 
-// pathKinds are kinds that differ in what a caller might want to evade: importance and
-// the ban on retries.
+// pathKinds are kinds that differ in the properties that a caller might want to evade: their
+// importance and the ban on retries.
 const pathKinds = `
 resource: service
 name: orders
@@ -101,7 +101,7 @@
 
 // For any path that a caller sends, the node either determines the same kind as the
 // target or rejects the request.
-func TestPathIsOfOneKindForNodeAndTarget(t *testing.T) {
+func TestNodeAndTargetAgreeOnKind(t *testing.T) {
 	set, err := schema.Parse("declarations", []byte(pathKinds))
 	if err != nil {
 		t.Fatal(err)
@@ -135,7 +135,7 @@
 	separator := rapid.SampledFrom([]string{"/", "/", "/", "%2F", "%2f", "%5C", "\\", "%252F", "//", "/%2e/"})
 	text := "/"
 	for range rapid.IntRange(0, 3).Draw(t, "segments") {
-		text += segment.Draw(t, "segment") + separator.Draw(t, "joint")
+		text += segment.Draw(t, "segment") + separator.Draw(t, "separator")
 	}
 	return text + segment.Draw(t, "segment")
 }
@@ -166,9 +166,9 @@
 // rejected.
 func newClassifier(set *schema.Set) func(text string) (kind, uri string) {
 	rules := rulesOf(set)
-	inward := newTestFilters(time.Unix(1_800_000_000, 0), func() *Rules { return rules })
+	inbound := newTestFilters(time.Unix(1_800_000_000, 0), func() *Rules { return rules })
 	return func(text string) (kind, uri string) {
-		chain := Chain(inward.Filters(), func(_ context.Context, e *Exchange) *call.Answer {
+		chain := Chain(inbound.Filters(), func(_ context.Context, e *Exchange) *call.Answer {
 			kind, uri = e.Call.Kind.Name, e.Call.Path
 			return &call.Answer{Code: result.OK}
 		})
--- a/internal/filter/repeated_test.go
+++ b/internal/filter/repeated_test.go
@@ -41,9 +41,9 @@
 	return call.Refuse(rapid.SampledFrom(refusals).Draw(m.t, "refusal"), "")
 }
 
-// A caller with a plain HTTP client relies on the code alone and may lose answers. It must
-// get "not run" only if no transmission of its request ran or will run.
-func TestNotRunIsNeverToldOfARequestThatMayHaveRun(t *testing.T) {
+// A caller with a plain HTTP client may lose answers and relies on the code of the last
+// one. The code may say "not run" only if no transmission of the request ran or will run.
+func TestNotRunIsNotReportedIfRequestMayHaveRun(t *testing.T) {
 	set, err := schema.Parse("declarations", []byte(declarations))
 	if err != nil {
 		t.Fatal(err)
@@ -52,15 +52,15 @@
 		is := is.New(t)
 		model := &meshModel{t: t}
 		var rules *Rules
-		inward := newTestFilters(time.Unix(1_800_000_000, 0), func() *Rules { return rules })
-		inward.ChainAdmits = func([]string, uint32) (string, bool) { return "orders", rapid.Bool().Draw(t, "open") }
-		door := Handler(Chain(inward.Filters(), model.respond))
+		inbound := newTestFilters(time.Unix(1_800_000_000, 0), func() *Rules { return rules })
+		inbound.ChainAdmits = func([]string, uint32) (string, bool) { return "orders", rapid.Bool().Draw(t, "open") }
+		handler := Handler(Chain(inbound.Filters(), model.respond))
 		method, path := http.MethodPost, "/orders"
 		if rapid.Bool().Draw(t, "safe") {
 			method, path = http.MethodGet, "/stock/rope"
 		}
-		toldNotRun := false
-		for i := range rapid.IntRange(1, 4).Draw(t, "sendings") {
+		reportedNotRun := false
+		for i := range rapid.IntRange(1, 4).Draw(t, "transmissions") {
 			rules = nil
 			if rapid.IntRange(0, 9).Draw(t, "configured") > 0 {
 				rules = rulesOf(set)
@@ -70,19 +70,19 @@
 			if i == 0 {
 				request.Header.Set(FreshHeader, "true")
 			}
-			answer := door(context.Background(), request)
+			answer := handler(context.Background(), request)
 			code, _ := result.Parse(answer.Header.Get(CodeHeader))
-			toldNotRun = code.Family() == result.NotRun
+			reportedNotRun = code.Family() == result.NotRun
 			is.Equal(answer.Header.Get(RefusalHeader) != "", code == result.RepeatRefused)
 		}
-		if toldNotRun { // by the last answer
+		if reportedNotRun { // by the last answer
 			is.Equal(model.runs+model.late, 0)
 		}
 	})
 }
 
 // Only the node can set the headers that report the result of a request.
-func TestTargetCannotWriteTheHeadersOfResults(t *testing.T) {
+func TestTargetCannotForgeResultHeaders(t *testing.T) {
 	is := is.New(t)
 	forged := http.Header{}
 	for _, name := range []string{CodeHeader, ResultHeader, RequestHeader, RefusalHeader} {
