--- a/internal/member/catchup.go
+++ b/internal/member/catchup.go
@@ -21,7 +21,7 @@
 }
 
 // becomeReady makes the node ready after a start or a freeze, once it has read the
-// platform's table or got the full view of enough peers, and has caught up with the
+// platform's table or received the full views of enough peers, and has caught up with the
 // configuration.
 func (c *Controller) becomeReady(ctx context.Context, fromTable bool) {
 	c.mu.Lock()
--- a/internal/member/cluster_test.go
+++ b/internal/member/cluster_test.go
@@ -97,15 +97,15 @@
 		Service:      "rounds",
 		State:        member.Active,
 	}
-	direct := func(work func()) { work() }
+	runInline := func(work func()) { work() }
 	log := hclog.NewNullLogger()
 	n.config = config.New(c.memory.Store(), parseAny, c.clock, log)
 	n.config.Random = c.random.Float64
-	n.config.Go = direct
+	n.config.Go = runInline
 	n.config.Fetch = n.fetch
 	n.member = member.New(self, c.memory.Store(), c.clock, log)
 	n.member.Random = c.random.Float64
-	n.member.Go = direct
+	n.member.Go = runInline
 	n.member.Send = n.send
 	n.member.Revision = n.config.Number
 	n.member.Plans = n.config.Plans
@@ -234,7 +234,7 @@
 	return func(n *node) bool { return n.config.Number() == number }
 }
 
-func TestRevisionIsInForceEverywhereWithinSeconds(t *testing.T) {
+func TestRevisionReachesAllNodesInTime(t *testing.T) {
 	scenarios := map[string]func(c *cluster){
 		"store up":                  func(*cluster) {},
 		"store down after accept":   func(c *cluster) { c.memory.SetFaults(plat.Faults{Down: true}) },
@@ -243,14 +243,14 @@
 		"store only, no exchange":   func(c *cluster) { c.blocked = func(string, string) bool { return true } },
 		"accepting node then stops": func(c *cluster) { c.nodes[7].alive = false },
 	}
-	for name, disturb := range scenarios {
+	for name, injectFault := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(5) {
 				is := is.New(t)
 				c := newSettledCluster(t, seed, nodes)
 				_, err := c.commit(7, "second", 1)
 				is.NoErr(err)
-				disturb(c)
+				injectFault(c)
 				took := c.run(2*revisionLimit, c.all(hasRevision(2)))
 				is.True(took <= revisionLimit) // in force in 30 nodes in time
 			}
@@ -261,7 +261,7 @@
 // Nodes without changes make half as many exchanges, which are most of their idle cost.
 // The test guards against that saving delaying the next change: a new revision must still
 // reach all nodes in time, with the platform down and a third of the messages lost.
-func TestCalmNodesMeetLessOften(t *testing.T) {
+func TestQuiescentNodesExchangeLessOften(t *testing.T) {
 	for seed := range uint64(5) {
 		is := is.New(t)
 		c := newSettledCluster(t, seed, nodes)
@@ -278,7 +278,7 @@
 	}
 }
 
-func TestRestartInOutageNeverServesALowerRevision(t *testing.T) {
+func TestRestartDuringOutageServesLatestRevision(t *testing.T) {
 	for seed := range uint64(20) {
 		is := is.New(t)
 		c := newSettledCluster(t, seed, nodes)
@@ -312,7 +312,7 @@
 	return false
 }
 
-func TestTwoOperatorsOneWins(t *testing.T) {
+func TestSecondCommitOnSameRevisionConflicts(t *testing.T) {
 	is := is.New(t)
 	c := newSettledCluster(t, 1, 3)
 	for expected := int64(1); expected <= 10; expected++ {
@@ -325,7 +325,7 @@
 	}
 }
 
-func TestLostAnswerMakesOneRevision(t *testing.T) {
+func TestCommitRetryAfterLostAnswerIsIdempotent(t *testing.T) {
 	is := is.New(t)
 	c := newSettledCluster(t, 1, 3)
 	// The write takes effect but its answer is lost, and then reads fail too: the operator
@@ -356,7 +356,7 @@
 	is.True(c.all(hasRevision(3))()) // one revision per operator, and the retry does not revert to 2
 }
 
-func TestLeavingIsSeenEverywhereWhileThePlatformIsDown(t *testing.T) {
+func TestLeaveReachesAllNodesDuringOutage(t *testing.T) {
 	for _, size := range []int{nodes, 150} {
 		for seed := range uint64(3) {
 			is := is.New(t)
@@ -373,7 +373,7 @@
 	}
 }
 
-func TestLeaveTellsAFewMembersAtOnce(t *testing.T) {
+func TestLeaveNotifiesSmallClusterDirectly(t *testing.T) {
 	is := is.New(t)
 	c := newSettledCluster(t, 1, nodes)
 	c.memory.SetFaults(plat.Faults{Down: true})
@@ -382,7 +382,7 @@
 	is.True(c.all(func(n *node) bool { return knows(n, row) })()) // no time has passed
 }
 
-func TestGoneIsNotResurrected(t *testing.T) {
+func TestStaleRowDoesNotRestoreGoneMember(t *testing.T) {
 	is := is.New(t)
 	c := newSettledCluster(t, 1, nodes)
 	leaver := c.nodes[3]
@@ -406,7 +406,7 @@
 	is.True(gone())
 }
 
-func TestHealedPartitionConverges(t *testing.T) {
+func TestViewsConvergeAfterPartition(t *testing.T) {
 	is := is.New(t)
 	c := newSettledCluster(t, 1, nodes)
 	c.memory.SetFaults(plat.Faults{Down: true})
@@ -424,7 +424,7 @@
 	is.True(took < limit)
 }
 
-func TestLeasesLapseOnlyWhileThePlatformIsUp(t *testing.T) {
+func TestLeasesExpireOnlyWhilePlatformIsUp(t *testing.T) {
 	is := is.New(t)
 	c := newSettledCluster(t, 1, nodes)
 	c.memory.SetFaults(plat.Faults{Down: true})
@@ -443,9 +443,9 @@
 	is.True(took < limit)
 }
 
-// TestLateRenewalDoesNotUndoADeparture guards against a lease row that outlives its node:
-// the node departs while its renewal is in flight to the table.
-func TestLateRenewalDoesNotUndoADeparture(t *testing.T) {
+// TestLateRenewalDoesNotRestoreDeletedLease guards against a lease row that outlives its
+// node: the node departs while its renewal is in flight to the table.
+func TestLateRenewalDoesNotRestoreDeletedLease(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	c := newSettledCluster(t, 1, 3)
@@ -462,23 +462,23 @@
 	is.Equal(row.Version, int64(0))
 }
 
-func TestLaterIncarnationWins(t *testing.T) {
+func TestLaterIncarnationSupersedesEarlier(t *testing.T) {
 	is := is.New(t)
 	c := newSettledCluster(t, 1, nodes)
 	paused := c.nodes[4].member
 	c.advance(time.Second)
 	c.start(4)
 	c.advance(20 * time.Second)
-	_, stops := c.nodes[4].member.Superseded()
-	is.True(!stops)
+	_, superseded := c.nodes[4].member.Superseded()
+	is.True(!superseded)
 	is.NoErr(paused.Renew(context.Background())) // the earlier process resumes
-	later, stops := paused.Superseded()
-	is.True(stops)
+	later, superseded := paused.Superseded()
+	is.True(superseded)
 	is.Equal(later.Incarnation, c.nodes[4].member.Self().Incarnation)
 	is.True(c.all(func(n *node) bool { return knows(n, c.nodes[4].member.Self()) })())
 }
 
-func TestRestartWithAClockBehindIsNotTakenForTheEarlier(t *testing.T) {
+func TestRestartWithClockBehindIsNotSuperseded(t *testing.T) {
 	is := is.New(t)
 	c := newSettledCluster(t, 1, nodes)
 	c.memory.SetFaults(plat.Faults{Down: true})
@@ -488,12 +488,12 @@
 	c.clock.now = now
 	c.nodes[4].started = now
 	c.advance(15 * time.Second)
-	_, stops := c.nodes[4].member.Superseded()
-	is.True(!stops)
+	_, superseded := c.nodes[4].member.Superseded()
+	is.True(!superseded)
 	is.True(c.all(func(n *node) bool { return knows(n, c.nodes[4].member.Self()) })())
 }
 
-func TestWakeAfterFreezeIsNotReadyBeforeItCaughtUp(t *testing.T) {
+func TestNodeIsNotReadyAfterFreezeUntilCaughtUp(t *testing.T) {
 	is := is.New(t)
 	c := newSettledCluster(t, 1, nodes)
 	frozen := c.nodes[4]
--- a/internal/member/control.go
+++ b/internal/member/control.go
@@ -94,19 +94,20 @@
 	Clock clock.Clock
 	// Random returns a random number in [0, 1).
 	Random func() float64
-	// OnChange is called after changes of the view, without the lock held. It may be nil.
+	// OnChange is called after changes of the view, without the lock held. OnChange may be
+	// nil.
 	OnChange func()
 	Log      hclog.Logger
 
-	// Revision and Plans return the configuration revision and the owner plans in force at
-	// this node. Heard is called with those of the node at a relay address after each
-	// exchange. All three may be nil.
+	// Revision and Plans return the configuration revision and the versions of the owner
+	// plans known at this node. OnPeerVersions is called after each exchange with those of
+	// the node at a relay address. All three may be nil.
 	Revision       func() int64
 	Plans          func() []*relaypb.PlanVersion
 	OnPeerVersions func(from string, revision int64, plans []*relaypb.PlanVersion)
 	// CatchUp is called before the node becomes ready, with the relay addresses of members,
-	// to fetch the configuration in force. While CatchUp fails, the node stays unready. It
-	// may be nil.
+	// to fetch the configuration in force. While CatchUp fails, the node stays unready.
+	// CatchUp may be nil.
 	CatchUp func(ctx context.Context, peers []string) error
 	// Go runs work that may block on other nodes. If Go is nil, the work runs in a new
 	// goroutine.
@@ -145,7 +146,7 @@
 		Log:    log,
 		view:   NewView(self),
 
-		planGossip: planGossip{rows: make(map[string]planState)},
+		planGossip: planGossip{states: make(map[string]planState)},
 
 		unreadySince:  clk.Now(),
 		fullViewsFrom: make(map[string]bool),
--- a/internal/member/exchange.go
+++ b/internal/member/exchange.go
@@ -141,7 +141,8 @@
 	}
 }
 
-// runHooks calls Changed and Heard. The caller must not hold the lock.
+// runHooks calls OnChange if the view changed, and OnPeerVersions. The caller must not
+// hold the lock.
 func (c *Controller) runHooks(changed bool, from string, revision int64, plans []*relaypb.PlanVersion) {
 	if changed {
 		c.notify()
@@ -175,8 +176,8 @@
 
 // pickPeers selects the addresses for one round: one member of the own data centre, and
 // one of all members or, in a share of the rounds, of another region. A quiescent node
-// contacts only one of the two. While the node knows no other members, it contacts those
-// that sent it an exchange and probes one that has lapsed or is recently gone.
+// contacts only one of the two. While the node knows no other members, it contacts the
+// nodes that sent it an exchange and probes a member that has lapsed or is recently gone.
 func (c *Controller) pickPeers() []string {
 	c.refreshPeers()
 	all, near, candidates := c.peers.all, c.peers.near, c.peers.all
--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -29,7 +29,7 @@
 	leaseTable = "members"
 )
 
-// lease is what a controller keeps about the table. Only the lease loop and Depart
+// lease is the controller's state of the table of leases. Only the lease loop and Depart
 // use it; Controller.mu guards the fields that both may use at once.
 type lease struct {
 	listedVersion int64 // version up to which the table was read
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -131,8 +131,8 @@
 
 func mergedView(rows ...[]member.Member) *member.View {
 	view := member.NewView(member.Member{Name: "self", Incarnation: "s"})
-	for _, some := range rows {
-		view.Merge(start, some)
+	for _, batch := range rows {
+		view.Merge(start, batch)
 	}
 	return view
 }
@@ -188,7 +188,7 @@
 	})
 }
 
-func TestSignOfLifeCountsForTheLastNameAtAnAddress(t *testing.T) {
+func TestContactCountsForLatestMemberAtAddress(t *testing.T) {
 	is := is.New(t)
 	view := mergedView([]member.Member{
 		{Name: "old", Incarnation: "a", StartedMS: 1, RelayAddress: "10.0.0.1:1"},
@@ -205,10 +205,10 @@
 	is.Equal(view.Lapsed()[0].Name, "old")
 }
 
-// A host was lost and another one has taken its address. If the lost node stayed in the
-// view until its lease ended, calls to it would reach the new node, which rejects them.
-// The lost node must not come back when the new one leaves.
-func TestReplacedHostIsNoMember(t *testing.T) {
+// A host was lost and another host has taken its address. If the lost node stayed in the
+// view until its lease ended, calls to the lost node would reach the new node, which
+// rejects them. The lost node must not come back when the new node leaves.
+func TestReplacedMemberIsNotPresent(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	view := member.NewView(member.Member{Name: "side-1", RelayAddress: "10.0.0.1:7100", StartedMS: 50})
@@ -232,7 +232,7 @@
 // The clock of a replaced host was ahead, so its successor seems to have started earlier.
 // The view must keep the successor if it was seen after the predecessor was gone, and a
 // node must never drop itself from its own view.
-func TestSuccessorWithAClockBehindIsAMember(t *testing.T) {
+func TestSuccessorWithClockBehindIsPresent(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	ahead := member.Member{Name: "side-4", RelayAddress: "10.0.0.4:7100", StartedMS: 900, Version: 1, State: member.Gone}
--- a/internal/member/plans.go
+++ b/internal/member/plans.go
@@ -6,18 +6,18 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb"
 )
 
-// plansPerTurn is the number of plans that a message carries in rotation, in addition to
-// changed ones. A node takes part in 13 exchanges per second, so with 54 services it
-// receives each version about once per second even if it missed the change.
-const plansPerTurn = 4
+// rotationStep is the number of plan versions that a message carries in rotation, in
+// addition to changed ones. A node takes part in 13 exchanges per second, so with 54
+// services it receives each version about once per second even if it missed the change.
+const rotationStep = 4
 
 type (
 	// planGossip selects the versions of owner plans that a message carries: those that
 	// changed recently, and a few of the others in rotation. To send all of them in every
 	// message would cost more than the rest of an exchange.
 	planGossip struct {
-		rows map[string]planState
-		next int // index of the first plan of the next rotation step
+		states map[string]planState
+		next   int // index of the first plan of the next rotation step
 	}
 
 	planState struct {
@@ -35,7 +35,7 @@
 			picked = append(picked, plan)
 		}
 	}
-	for range min(plansPerTurn, len(all)) {
+	for range min(rotationStep, len(all)) {
 		plan := all[p.next%len(all)]
 		p.next++
 		if !slices.Contains(picked, plan) {
@@ -48,15 +48,15 @@
 // due reports whether the next message must carry the version as changed, and counts
 // that message against the version's remaining sends.
 func (p *planGossip) due(plan *relaypb.PlanVersion, sendsLeft int) bool {
-	row, known := p.rows[plan.GetService()]
-	if !known || row.version != plan.GetVersion() {
-		row = planState{version: plan.GetVersion(), sendsLeft: sendsLeft}
+	state, known := p.states[plan.GetService()]
+	if !known || state.version != plan.GetVersion() {
+		state = planState{version: plan.GetVersion(), sendsLeft: sendsLeft}
 	}
-	due := row.sendsLeft > 0
+	due := state.sendsLeft > 0
 	if due {
-		row.sendsLeft--
+		state.sendsLeft--
 	}
-	p.rows[plan.GetService()] = row
+	p.states[plan.GetService()] = state
 	return due
 }
 
--- a/internal/member/plans_test.go
+++ b/internal/member/plans_test.go
@@ -41,7 +41,7 @@
 	return len(n.config.Plans()) == plannedServices
 }
 
-func TestPlansTakeAQuarterOfTheBytesAtMost(t *testing.T) {
+func TestPlanVersionsStayWithinByteLimit(t *testing.T) {
 	is := is.New(t)
 	c := newPlannedCluster(t, 1)
 	bytes := 0
@@ -65,7 +65,7 @@
 	is.True(rate < planBytesPerSecond)
 }
 
-func TestChangedPlanIsKnownEverywhereWithinSeconds(t *testing.T) {
+func TestChangedPlanReachesAllNodesInTime(t *testing.T) {
 	for seed := range uint64(5) {
 		is := is.New(t)
 		c := newPlannedCluster(t, seed)
@@ -84,7 +84,7 @@
 
 // The view hash does not cover plans, so it does not show that a node missed the change of
 // a plan, as a node behind a broken link does. The node must learn of it by the rotation.
-func TestMissedPlanIsHeardOfLater(t *testing.T) {
+func TestMissedPlanArrivesByRotation(t *testing.T) {
 	is := is.New(t)
 	c := newPlannedCluster(t, 2)
 	c.blocked = func(from, to string) bool { return from == c.nodes[0].address || to == c.nodes[0].address }
--- a/internal/member/run_test.go
+++ b/internal/member/run_test.go
@@ -87,17 +87,17 @@
 }
 
 // While the platform is down, a node that left and restarts knows no other members and
-// accepts no work until one contacts it. The test guards against a slow return: in a small
-// cluster every node must probe a recently gone member in nearly every round.
-func TestThoseThatLeftAreLookedForOften(t *testing.T) {
+// accepts no work until a member contacts it. The test guards against a slow return: in a
+// small cluster every node must probe a recently gone member in nearly every round.
+func TestRecentlyGoneMembersAreProbedOften(t *testing.T) {
 	is := is.New(t)
 	const size = 12
 	clk := &manualClock{now: time.UnixMilli(1_700_000_000_000)}
 	c := member.New(sampleRow(0), plat.NewMemory().Store(), clk, hclog.NewNullLogger())
 	c.Go = func(work func()) { work() }
-	asked := map[string]int{}
+	probes := map[string]int{}
 	c.Send = func(_ context.Context, address string, _ *relaypb.ExchangeRequest) (*relaypb.ExchangeResponse, error) {
-		asked[address]++
+		probes[address]++
 		return nil, errors.New("no answer")
 	}
 	for i := 1; i < size; i++ {
@@ -115,5 +115,5 @@
 	for range rounds {
 		c.Round(context.Background())
 	}
-	is.True(asked[sampleRow(1).RelayAddress] >= rounds*3/4)
+	is.True(probes[sampleRow(1).RelayAddress] >= rounds*3/4)
 }
