--- a/internal/config/clean.go
+++ b/internal/config/clean.go
@@ -13,14 +13,14 @@
 
 const (
 	// cleanInterval is the mean time between two checks of one node whether a cleanup run
-	// is due, and the length of a run. With 530 nodes the checks are 0.3 reads/s in all.
+	// is due, and the length of a run. With 530 nodes the checks make 0.3 reads/s in all.
 	cleanInterval = 30 * time.Minute
 	// deletePause is the time between two deletes. With one lease write every 10 s, a
 	// node then uses 0.2 of the 0.5 writes/s that its client permits.
 	deletePause = 10 * time.Second
 	// deletesPerRun is the number of deletes that, with their pauses, fit into one run:
 	// 25 of its 30 minutes, so that the next node does not start before this one ends.
-	// That is 7200 deletes a day.
+	// All runs of a day make at most 7200 deletes.
 	deletesPerRun = 150
 
 	cleanStateKey = "cleaned"
@@ -99,16 +99,16 @@
 	if err != nil || !state.due(now) {
 		return 0, err
 	}
-	past, err := c.readHistory(ctx)
-	if err != nil || len(past.Entries) == 0 {
+	hist, err := c.readHistory(ctx)
+	if err != nil || len(hist.Entries) == 0 {
 		return 0, err
 	}
 	current := c.Current()
-	if current == nil || current.Number != past.Entries[0].Number {
+	if current == nil || current.Number != hist.Entries[0].Number {
 		return 0, nil // this node does not know yet how many revisions the latest set keeps
 	}
 	next := cleanState{
-		Below:  max(state.Below, past.lowestKept(keptRevisions(current.Set), now)),
+		Below:  max(state.Below, hist.lowestKept(keptRevisions(current.Set), now)),
 		NextMS: now.Add(cleanInterval).UnixMilli(),
 		Node:   c.Name,
 	}
--- a/internal/config/clean_test.go
+++ b/internal/config/clean_test.go
@@ -69,10 +69,10 @@
 	return &jumpClock{now: time.Unix(1_800_000_000, 0)}
 }
 
-// TestSlowNodeStillFetches stops a node after it has read the head row, while other nodes
-// commit and clean until a minute before the retention time ends. The document must still
-// be there.
-func TestSlowNodeStillFetches(t *testing.T) {
+// TestReplacedRevisionIsKeptForSlowNode stops a node after it has read the head row,
+// while other nodes commit and clean until a minute before the retention time ends. The
+// document must still be there.
+func TestReplacedRevisionIsKeptForSlowNode(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clk := newClock()
@@ -96,9 +96,9 @@
 	is.Equal(memory.Stats().Objects, int64(kept)) // deleted after the retention time
 }
 
-// TestSharedDocumentStays rolls back to the oldest kept revision, whose own object is
-// then deleted.
-func TestSharedDocumentStays(t *testing.T) {
+// TestRolledBackDocumentSurvivesCleanup rolls back to the oldest kept revision, whose own
+// object is then deleted.
+func TestRolledBackDocumentSurvivesCleanup(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	clk := newClock()
@@ -122,10 +122,10 @@
 	is.Equal(entries[0].Node, "a")
 }
 
-// TestRollbackRacesDeletion runs a cleanup at each operation of a rollback to a revision
-// that is due for deletion. Wherever the cleanup comes, the rollback either succeeds
-// completely, also for a node that boots from the platform, or changes nothing.
-func TestRollbackRacesDeletion(t *testing.T) {
+// TestRollbackDuringCleanupIsAtomic runs a cleanup at each operation of a rollback to a
+// revision that is due for deletion. Wherever the cleanup comes, the rollback either
+// succeeds completely, also for a node that boots from the platform, or changes nothing.
+func TestRollbackDuringCleanupIsAtomic(t *testing.T) {
 	outcomes := map[bool]int{}
 	for at := range 12 {
 		is := is.New(t)
@@ -205,10 +205,10 @@
 	is.True(errorx.IsOfType(err, config.Conflict))
 }
 
-// TestOutageWithinRollback takes the platform down after each operation of a rollback,
-// while all answers are lost. The result that the operator gets is true, and the same
-// rollback, repeated once the platform is back, is accepted once.
-func TestOutageWithinRollback(t *testing.T) {
+// TestOutageDuringRollbackReportsTrueOutcome takes the platform down after each operation
+// of a rollback, while all answers are lost. The result that the operator gets is true,
+// and the same rollback, repeated once the platform is back, is accepted once.
+func TestOutageDuringRollbackReportsTrueOutcome(t *testing.T) {
 	for at := range 12 {
 		is := is.New(t)
 		ctx := context.Background()
@@ -287,9 +287,9 @@
 	is.Equal(memory.Stats().Objects, int64(6))
 }
 
-// TestHistoryHoldsWhatIsNeeded checks that the history names 64 heads, for writers whose
-// answers were lost, and more only while those were recently in force.
-func TestHistoryHoldsWhatIsNeeded(t *testing.T) {
+// TestHistoryKeepsLatestAndRecentEntries checks that the history names 64 heads, for
+// writers whose answers were lost, and more only while those were recently in force.
+func TestHistoryKeepsLatestAndRecentEntries(t *testing.T) {
 	is := is.New(t)
 	clk := newClock()
 	c := newNode("a", plat.NewMemory().Store(), clk)
@@ -325,10 +325,10 @@
 	is.True(errorx.IsOfType(err, config.NotKept))
 }
 
-// TestKeptRevisionsStay runs operators and cleaners against a platform with lost answers
-// and outages. Every revision that must be kept can be loaded at any time, and after the
-// faults have ended no more than those revisions remain.
-func TestKeptRevisionsStay(t *testing.T) {
+// TestKeptRevisionsCanBeLoaded runs operators and cleaners against a platform with lost
+// answers and outages. Every revision that must be kept can be loaded at any time, and
+// after the faults have ended no more than those revisions remain.
+func TestKeptRevisionsCanBeLoaded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		ctx := context.Background()
--- a/internal/config/commit.go
+++ b/internal/config/commit.go
@@ -81,16 +81,16 @@
 }
 
 func (c *Controller) headWrite(ctx context.Context, row plat.Row, accepted Revision, restores int64) (plat.Write, error) {
-	past, err := c.readHistory(ctx)
+	hist, err := c.readHistory(ctx)
 	if err != nil {
 		return plat.Write{}, Unresolved.Wrap(err, "the history could not be read; this attempt accepted nothing")
 	}
-	past = past.prepend(c.entry(accepted, restores), keptRevisions(accepted.Set), c.clock.Now())
+	hist = hist.prepend(c.entry(accepted, restores), keptRevisions(accepted.Set), c.clock.Now())
 	currentValue, err := json.Marshal(head{Number: accepted.Number, Digest: accepted.Digest})
 	if err != nil {
 		return plat.Write{}, err
 	}
-	pastValue, err := json.Marshal(past)
+	historyValue, err := json.Marshal(hist)
 	if err != nil {
 		return plat.Write{}, err
 	}
@@ -100,14 +100,14 @@
 		ID:    writeID("config", accepted.Digest, accepted.Number-1),
 		Changes: []plat.Change{
 			{Key: currentKey, Value: currentValue, Expected: row.Version},
-			{Key: historyKey, Value: pastValue, Expected: row.Version},
+			{Key: historyKey, Value: historyValue, Expected: row.Version},
 		},
 	}, nil
 }
 
 // outcome reports whether the write that would have made the wanted revision took effect.
 // It returns false while the previous revision is still in force, and Conflict if another
-// revision was accepted instead or the history no longer tells.
+// revision was accepted instead or the history no longer has an entry for that number.
 func (c *Controller) outcome(ctx context.Context, current head, wanted Revision) (done bool, err error) {
 	expected := wanted.Number - 1
 	if current.Number == expected {
@@ -117,11 +117,11 @@
 	if current.Number < expected {
 		return false, conflict
 	}
-	past, err := c.readHistory(ctx)
+	hist, err := c.readHistory(ctx)
 	if err != nil {
 		return false, Unresolved.Wrap(err, "whether revision %d was accepted is not known", wanted.Number)
 	}
-	for _, entry := range past.Entries {
+	for _, entry := range hist.Entries {
 		if entry.Number != wanted.Number {
 			continue
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,11 +1,11 @@
 // Package config distributes the configuration and the owner plans to all nodes.
 //
 // Revisions of the configuration form a single sequence. A revision is accepted by one
-// compare-and-set of the row config/current, after its document has been put into the
-// object store under its number and digest. Nodes learn of a revision by polling that row
-// and from their peers, and only ever move to a higher one. Owner plans, one sequence of
-// versions for each service, are distributed in the same way. Former revisions are kept
-// for rollbacks and deleted once there are too many.
+// compare-and-set of the head row, config/current, after its document has been put into
+// the object store under its number and digest. Nodes learn of a revision by polling the
+// head row and from their peers, and only ever move to a higher revision. Owner plans, one
+// sequence of versions for each service, are distributed in the same way. Former revisions
+// are kept for rollbacks and deleted once there are too many.
 package config
 
 import (
@@ -30,11 +30,11 @@
 
 const (
 	// pollInterval is the mean time between two reads of the head row. With 530 nodes
-	// that is 265 reads/s of the roughly 2000 that the platform serves.
+	// that makes 265 reads/s of the roughly 2000 that the platform serves.
 	pollInterval = 2 * time.Second
 	// planPolls is the number of polls of the head row for each poll of the owner plan.
-	// Peers announce a new plan within a second; the poll serves a node that hears from
-	// no peer. With 530 nodes a plan's row has 4 KB.
+	// Peers announce a new plan within a second; the poll serves a node that no peer
+	// contacts. With 530 nodes a plan's row has 4 KB.
 	planPolls = 5
 	// bootPeers is the number of peers that must give a booting node their revision
 	// before the node takes the highest one.
@@ -131,7 +131,8 @@
 		clock   clock.Clock
 		log     hclog.Logger
 		current atomic.Pointer[Revision]
-		// highest is the highest revision number that this node has heard of.
+		// highest is the highest revision number that this node has learned of from the
+		// platform, a source or a peer.
 		highest atomic.Int64
 
 		// applyMu makes revisions come into force one at a time, each together with its
@@ -207,8 +208,8 @@
 	return true
 }
 
-// ObserveRevision records that the node at the address has the revision, and fetches the revision
-// if it is higher than the one in force here.
+// ObserveRevision records that the node at the address has the revision, and fetches the
+// revision if it is higher than the one in force here.
 func (c *Controller) ObserveRevision(ctx context.Context, from string, number int64) {
 	c.raiseHighest(number)
 	if number > c.Number() {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -38,7 +38,7 @@
 	return config.Revision{Number: number, Digest: config.Digest([]byte(document)), Document: []byte(document)}
 }
 
-func TestOfferTakesOnlyHigherWholeRevisions(t *testing.T) {
+func TestOfferAcceptsOnlyHigherValidRevisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		c := controller(plat.NewMemory().Store())
@@ -59,9 +59,9 @@
 	})
 }
 
-// TestOperatorsAtTheSameMoment runs the second commit between the read of the head and
+// TestConcurrentCommitConflicts runs the second commit between the read of the head and
 // the write of the first commit.
-func TestOperatorsAtTheSameMoment(t *testing.T) {
+func TestConcurrentCommitConflicts(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	memory := plat.NewMemory()
@@ -89,10 +89,10 @@
 	is.Equal(first.Current().Digest, winner.Digest)
 }
 
-// TestEveryOperatorHearsTheTruth runs operators against a platform that loses answers;
+// TestCommitResultsMatchRevisions runs operators against a platform that loses answers;
 // each repeats its commit while the outcome is unresolved. The results that they get must
 // match the sequence of revisions.
-func TestEveryOperatorHearsTheTruth(t *testing.T) {
+func TestCommitResultsMatchRevisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		ctx := context.Background()
@@ -113,30 +113,30 @@
 		}
 		operators := []*config.Controller{controller(memory.Store()), controller(memory.Store())}
 		expected := make([]int64, len(operators))
-		told := make(map[string]int64)
+		reported := make(map[string]int64)
 		for step := range rapid.IntRange(1, 12).Draw(t, "steps") {
-			who := rapid.IntRange(0, len(operators)-1).Draw(t, "operator")
+			operator := rapid.IntRange(0, len(operators)-1).Draw(t, "operator")
 			document := fmt.Sprintf("document-%d", step)
-			accepted, err := operators[who].Commit(ctx, []byte(document), expected[who])
+			accepted, err := operators[operator].Commit(ctx, []byte(document), expected[operator])
 			for range 10 {
 				if !errorx.IsOfType(err, config.Unresolved) {
 					break
 				}
-				accepted, err = operators[who].Commit(ctx, []byte(document), expected[who])
+				accepted, err = operators[operator].Commit(ctx, []byte(document), expected[operator])
 			}
 			observe()
 			switch {
 			case err == nil:
-				told[document] = accepted.Number
-				expected[who] = accepted.Number
+				reported[document] = accepted.Number
+				expected[operator] = accepted.Number
 			case errorx.IsOfType(err, config.Conflict):
 				for _, other := range history {
 					is.True(other != document) // a document reported as rejected was never in force
 				}
-				expected[who] = observer.Number()
+				expected[operator] = observer.Number()
 			}
 		}
-		for document, number := range told {
+		for document, number := range reported {
 			is.Equal(history[number], document)
 		}
 		for number := int64(1); number <= observer.Number(); number++ {
@@ -145,9 +145,9 @@
 	})
 }
 
-// TestWriteOnItsWayIsNotCalledRefused delays a write until its writer has timed out; the
-// write takes effect nevertheless.
-func TestWriteOnItsWayIsNotCalledRefused(t *testing.T) {
+// TestDelayedWriteIsUnresolved delays a write until its writer has timed out; the write
+// takes effect nevertheless.
+func TestDelayedWriteIsUnresolved(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	memory := plat.NewMemory()
@@ -175,8 +175,8 @@
 	is.Equal(other.Current().Digest, accepted.Digest)
 }
 
-// TestBootTakesTheHighestOfThree runs 50 times, since the order of the peers is random.
-func TestBootTakesTheHighestOfThree(t *testing.T) {
+// TestBootTakesHighestOfThreePeers runs 50 times, since the order of the peers is random.
+func TestBootTakesHighestOfThreePeers(t *testing.T) {
 	is := is.New(t)
 	memory := plat.NewMemory()
 	memory.SetFaults(plat.Faults{Down: true})
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestBootRefusesToGoBelowWhatItHeard(t *testing.T) {
+func TestBootRejectsRevisionBelowHighestKnown(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	memory := plat.NewMemory()
@@ -210,7 +210,7 @@
 	is.Equal(c.Number(), int64(2))
 }
 
-func TestPlansTravel(t *testing.T) {
+func TestPlansReachOtherNodes(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	memory := plat.NewMemory()
@@ -219,8 +219,8 @@
 	other.Fetch = func(_ context.Context, _ string, plans []string) (*relaypb.FetchResponse, error) {
 		return owner.HandleFetch(&relaypb.FetchRequest{Plans: plans}), nil
 	}
-	var taken []int64
-	other.OnPlan = func(_ string, _ []byte, version int64) { taken = append(taken, version) }
+	var stored []int64
+	other.OnPlan = func(_ string, _ []byte, version int64) { stored = append(stored, version) }
 
 	first, err := owner.CommitPlan(ctx, "orders", []byte("p1"), 0)
 	is.NoErr(err)
@@ -240,7 +240,7 @@
 	document, version := other.Plan("orders")
 	is.Equal(string(document), "p3")
 	is.Equal(version, second)
-	is.Equal(taken, []int64{second})
+	is.Equal(stored, []int64{second})
 }
 
 // fastClock runs a thousand times as fast as the host's clock.
@@ -297,7 +297,7 @@
 
 // A known owner plan is polled rarely, since other nodes announce a newer one; an unknown
 // plan is requested with each poll.
-func TestKnownPlanIsReadSeldom(t *testing.T) {
+func TestKnownPlanIsPolledLessOften(t *testing.T) {
 	for _, test := range []struct {
 		known bool
 		most  int
--- a/internal/config/follow_test.go
+++ b/internal/config/follow_test.go
@@ -11,10 +11,10 @@
 	"github.com/dandelionfield/dandelionfield/internal/plat"
 )
 
-// Each request to the platform has a cost. In a large cluster one node that learns of a
-// revision tells the others, so each node polls less often, and the nodes poll at
-// different times.
-func TestManyNodesAskTheSourceLessOften(t *testing.T) {
+// Each long poll of the source costs the platform a request. In a large cluster one node
+// that learns of a revision tells the others, so each node polls less often, and the nodes
+// poll at different times.
+func TestSourceIsPolledLessOftenInLargeCluster(t *testing.T) {
 	for _, test := range []struct {
 		nodes       int
 		least, most time.Duration
--- a/internal/config/history.go
+++ b/internal/config/history.go
@@ -45,11 +45,11 @@
 	}
 
 	// history is the value of the row config/history: the accepted revisions, the latest
-	// first. It is written in one transaction with the head. A writer that replaces a
-	// head has read the history, so every head that was ever in force is entered in it,
-	// and a writer whose answer was lost learns whether its write took effect even after
-	// another write has replaced it. The history has its own row because nodes poll the
-	// head.
+	// first. The history is written in one transaction with the head. A writer that
+	// replaces a head has read the history, so the history has an entry for every head
+	// that was ever in force, and a writer whose answer was lost learns whether its write
+	// took effect even after another write has replaced it. The history has its own row
+	// because nodes poll the head.
 	history struct {
 		Entries []Entry `json:"past"`
 	}
@@ -68,7 +68,7 @@
 func (c *Controller) History(ctx context.Context) ([]Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	past, err := c.readHistory(ctx)
+	hist, err := c.readHistory(ctx)
 	if err != nil {
 		return nil, unreachableError(err)
 	}
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, unreachableError(err)
 	}
-	kept := past.Entries
+	kept := hist.Entries
 	for i, entry := range kept {
 		if entry.Number < state.Below {
 			return kept[:i], nil
@@ -146,15 +146,15 @@
 }
 
 func (c *Controller) readHistory(ctx context.Context) (history, error) {
-	var past history
+	var hist history
 	row, err := c.store.Get(ctx, configTable, historyKey)
 	if err != nil || row.Version == 0 {
-		return past, err
+		return hist, err
 	}
-	if err := json.Unmarshal(row.Value, &past); err != nil {
-		return past, Invalid.Wrap(err, "the row %s/%s cannot be read", configTable, historyKey)
+	if err := json.Unmarshal(row.Value, &hist); err != nil {
+		return hist, Invalid.Wrap(err, "the row %s/%s cannot be read", configTable, historyKey)
 	}
-	return past, nil
+	return hist, nil
 }
 
 // entry returns the history record of a revision that is about to be accepted.
@@ -191,8 +191,8 @@
 	return counts
 }
 
-// prepend returns the history with one more revision, without entries that are neither
-// among the latest nor recently in force.
+// prepend returns the history with one more revision, and without the entries that are
+// neither among the latest nor recently in force.
 func (h history) prepend(accepted Entry, kept int, now time.Time) history {
 	longer := history{Entries: append([]Entry{accepted}, h.Entries...)}
 	for i := max(kept, minHistoryEntries); i < len(longer.Entries); i++ {
--- a/internal/config/plans.go
+++ b/internal/config/plans.go
@@ -47,9 +47,9 @@
 // version.
 func (c *Controller) ObservePlans(ctx context.Context, from string, versions []*relaypb.PlanVersion) {
 	var services []string
-	for _, heard := range versions {
-		if _, version := c.Plan(heard.GetService()); heard.GetVersion() > version {
-			services = append(services, heard.GetService())
+	for _, announced := range versions {
+		if _, version := c.Plan(announced.GetService()); announced.GetVersion() > version {
+			services = append(services, announced.GetService())
 		}
 	}
 	if len(services) > 0 {
