--- a/internal/decode/decode_test.go
+++ b/internal/decode/decode_test.go
@@ -19,7 +19,7 @@
 	})
 }
 
-func TestSizeRefusesOverflow(t *testing.T) {
+func TestParseSizeRejectsInvalidSizes(t *testing.T) {
 	is := is.New(t)
 	size, ok := ParseSize("9223372036854775807B")
 	is.True(ok)
@@ -40,12 +40,12 @@
 	is.Equal(Closest("", names), "")
 }
 
-// TestSyntaxErrorsNameTheirLine checks that the line of a syntax error counts from 1 for
-// the messages of the library's parser, which counts from 0, as well as of its scanner.
-// The invalid YAML follows a growing number of valid lines. The library reports the line
+// TestSyntaxErrorLine checks that the line of a syntax error counts from 1 for the
+// messages of the library's parser, which counts from 0, as well as of its scanner. The
+// invalid YAML follows a growing number of valid lines. The library reports the line
 // where the invalid part begins or the line where it ends; in these cases both are the
 // same.
-func TestSyntaxErrorsNameTheirLine(t *testing.T) {
+func TestSyntaxErrorLine(t *testing.T) {
 	is := is.New(t)
 	for _, broken := range []string{
 		"- [1, 2\n", "- {x: 1", "- ]\n", "- !x!y z\n", "}\n", // detected by the parser
