--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -153,58 +153,58 @@
 // may occur twice. The announced relay address leads to the relay listener, so it must
 // not equal the address of another one.
 func checkListen(reader *decode.Reader, object decode.Object) {
-	taken := map[string]string{}
+	keyByAddress := map[string]string{}
 	for _, key := range []string{"caller_listen", "relay_listen", "admin_listen", "ready_listen", "control_listen", "target_address", "relay_address"} {
 		value, present := object.Fields[key]
 		if !present || anyPort.MatchString(value.Node.Value) {
 			continue
 		}
-		other, twice := taken[value.Node.Value]
-		if twice && key == "relay_address" && other == "relay_listen" {
+		other, duplicate := keyByAddress[value.Node.Value]
+		if duplicate && key == "relay_address" && other == "relay_listen" {
 			continue
 		}
-		if twice {
+		if duplicate {
 			reader.Reportf(value, "another address than that of %s", other)
 			continue
 		}
-		taken[value.Node.Value] = key
+		keyByAddress[value.Node.Value] = key
 	}
 }
 
-func name(to *string) func(*decode.Reader, decode.Value) {
-	return decode.Match(to, namePattern, nameFormat)
+func name(dest *string) func(*decode.Reader, decode.Value) {
+	return decode.Match(dest, namePattern, nameFormat)
 }
 
 // ipAddress reads an IP address of this host.
-func ipAddress(to *string) func(*decode.Reader, decode.Value) {
+func ipAddress(dest *string) func(*decode.Reader, decode.Value) {
 	return func(r *decode.Reader, value decode.Value) {
 		address, err := netip.ParseAddr(value.Node.Value)
 		if err != nil || address.IsUnspecified() || address.Zone() != "" {
 			r.Report(value, "an IP address of this host (such as 10.0.0.7)")
 			return
 		}
-		*to = address.String()
+		*dest = address.String()
 	}
 }
 
 // token reads the operators' token. The error does not repeat an invalid token, since it
 // may be logged.
-func token(to *string) func(*decode.Reader, decode.Value) {
+func token(dest *string) func(*decode.Reader, decode.Value) {
 	return func(r *decode.Reader, value decode.Value) {
 		if !tokenPattern.MatchString(value.Node.Value) {
 			r.ReportSecret(value, "a token of "+minTokenLength+" to 256 letters without spaces")
 			return
 		}
-		*to = value.Node.Value
+		*dest = value.Node.Value
 	}
 }
 
-func level(to *string) func(*decode.Reader, decode.Value) {
+func level(dest *string) func(*decode.Reader, decode.Value) {
 	return func(r *decode.Reader, value decode.Value) {
 		index := logLevel(len(logLevels))
 		decode.Enum(&index, logLevels...)(r, value)
 		if int(index) < len(logLevels) {
-			*to = logLevels[index]
+			*dest = logLevels[index]
 		}
 	}
 }
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -22,7 +22,7 @@
 	})
 }
 
-func TestLoadNamesTheFile(t *testing.T) {
+func TestLoadMissingFileFails(t *testing.T) {
 	is := is.New(t)
 	_, err := Load("no-such-file.yaml")
 	is.True(err != nil)
