--- a/internal/gctune/gctune.go
+++ b/internal/gctune/gctune.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// LowLoadPercent lets the heap grow by 80% before a collection: a node has a tight
-	// memory budget and mostly uses little of its processor time.
+	// LowLoadPercent lets the heap grow by 80% before a collection, because a node has a
+	// tight memory budget and mostly uses little of its processor time.
 	LowLoadPercent = 80
 	// HighLoadPercent replaces LowLoadPercent at high load, when calls wait for the time
 	// that the collector takes. The heap then grows by highLoadGrowth bytes at most.
--- a/internal/gctune/gctune_test.go
+++ b/internal/gctune/gctune_test.go
@@ -11,14 +11,14 @@
 // In a surge the heap may grow, and after the surge memory is released. No steady load
 // may make the percentage oscillate, although there are fewer collections the further the
 // heap grows.
-func TestBusyNodesCollectLessOften(t *testing.T) {
+func TestPercentRisesAtHighLoadWithoutOscillating(t *testing.T) {
 	is := is.New(t)
 	collections := 100.0
-	c := gctune.New(gctune.GCStats{Cycles: uint64(collections)})
+	tuner := gctune.New(gctune.GCStats{Cycles: uint64(collections)})
 	percent := gctune.LowLoadPercent
 	period := func(atLowLoad float64) int {
 		collections += atLowLoad * gctune.LowLoadPercent / float64(percent)
-		percent = c.Next(gctune.GCStats{Cycles: uint64(collections), Live: 8 << 20})
+		percent = tuner.Next(gctune.GCStats{Cycles: uint64(collections), Live: 8 << 20})
 		return percent
 	}
 	is.Equal(period(6), gctune.LowLoadPercent)
@@ -39,19 +39,19 @@
 }
 
 // A node with a large live heap has no room to let the heap grow by HighLoadPercent.
-func TestHeldMemoryBoundsTheGrowth(t *testing.T) {
+func TestLargeLiveHeapLimitsGrowth(t *testing.T) {
 	is := is.New(t)
-	c := gctune.New(gctune.GCStats{})
-	is.Equal(c.Next(gctune.GCStats{Cycles: 20, Live: 40 << 20}), 80)
-	is.Equal(c.Next(gctune.GCStats{Cycles: 40, Live: 200 << 20}), gctune.LowLoadPercent)
-	is.Equal(c.Next(gctune.GCStats{Cycles: 80, Live: 4 << 20}), gctune.HighLoadPercent)
+	tuner := gctune.New(gctune.GCStats{})
+	is.Equal(tuner.Next(gctune.GCStats{Cycles: 20, Live: 40 << 20}), 80)
+	is.Equal(tuner.Next(gctune.GCStats{Cycles: 40, Live: 200 << 20}), gctune.LowLoadPercent)
+	is.Equal(tuner.Next(gctune.GCStats{Cycles: 80, Live: 4 << 20}), gctune.HighLoadPercent)
 }
 
 // Guards against judging load by the number of collections alone. A node beside a busy
 // target had 32 MB in use and five collections a second, which took a fifth of its
 // processor time, but counted as lightly loaded because there were so few.
-func TestFewCollectionsOfALargeHeapAreDear(t *testing.T) {
+func TestFewCollectionsOfLargeHeapAreHighLoad(t *testing.T) {
 	is := is.New(t)
-	c := gctune.New(gctune.GCStats{})
-	is.Equal(c.Next(gctune.GCStats{Cycles: 9, Live: 32 << 20}), 100)
+	tuner := gctune.New(gctune.GCStats{})
+	is.Equal(tuner.Next(gctune.GCStats{Cycles: 9, Live: 32 << 20}), 100)
 }
