--- a/internal/loglim/loglim.go
+++ b/internal/loglim/loglim.go
@@ -49,8 +49,8 @@
 	return &Limiter{maxLines: maxLines, period: period, classes: map[string]*lineClass{}}
 }
 
-// Allow reports whether a line may be written, and how many of its class were suppressed
-// since the last one that was.
+// Allow reports whether a line may be written and, if so, how many lines of its class were
+// suppressed since the last one that was written.
 func (l *Limiter) Allow(now time.Time, className string) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/loglim/loglim_test.go
+++ b/internal/loglim/loglim_test.go
@@ -20,24 +20,24 @@
 	text    bytes.Buffer
 }
 
-func (s *blockedOutput) Write(p []byte) (int, error) {
-	<-s.release
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.text.Write(p)
+func (o *blockedOutput) Write(p []byte) (int, error) {
+	<-o.release
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.text.Write(p)
 }
 
-func TestLinesOfOneClassAreBounded(t *testing.T) {
+func TestLimiterBoundsLinesPerClass(t *testing.T) {
 	is := is.New(t)
 	limiter := loglim.NewLimiter(20, time.Second)
 	now := time.Unix(1_800_000_000, 0)
-	out := 0
+	allowed := 0
 	for i := range 10_000 {
 		if _, ok := limiter.Allow(now.Add(time.Duration(i)*time.Millisecond/10), "refused"); ok {
-			out++
+			allowed++
 		}
 	}
-	is.Equal(out, 20) // ten thousand in a second
+	is.Equal(allowed, 20) // ten thousand in a second
 	_, ok := limiter.Allow(now, "timed_out")
 	is.True(ok) // another class has its own limit
 	suppressed, ok := limiter.Allow(now.Add(1100*time.Millisecond), "refused")
@@ -46,7 +46,7 @@
 }
 
 // A reader that stops may cost lines, which are counted, but must never block the writer.
-func TestStoppedReaderCostsLinesOnly(t *testing.T) {
+func TestWriterDoesNotBlockOnStoppedReader(t *testing.T) {
 	is := is.New(t)
 	out := &blockedOutput{release: make(chan struct{})}
 	writer := loglim.NewWriter(out)
@@ -67,7 +67,7 @@
 	is.NoErr(err)
 }
 
-func TestDroppedLinesAreSaidWithTheNextOne(t *testing.T) {
+func TestDroppedLinesAreReportedWithNextLine(t *testing.T) {
 	is := is.New(t)
 	out := &blockedOutput{release: make(chan struct{})}
 	writer := loglim.NewWriter(out)
@@ -84,8 +84,8 @@
 	is.True(strings.HasSuffix(out.text.String(), "last\n"))
 }
 
-func (s *blockedOutput) lines() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return strings.Split(s.text.String(), "\n")
+func (o *blockedOutput) lines() []string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return strings.Split(o.text.String(), "\n")
 }
