--- a/internal/metric/alerts_test.go
+++ b/internal/metric/alerts_test.go
@@ -60,54 +60,54 @@
 // no node exports.
 func unknownInExpression(expression string) []string {
 	known := labelsByMetric()
-	var missing []string
+	var unknown []string
 	for _, metric := range metricPattern.FindAllStringSubmatch(expression, -1) {
 		labels, ok := known[metric[1]]
 		if !ok {
-			missing = append(missing, metric[1])
+			unknown = append(unknown, metric[1])
 		}
-		wanted := labelMatcherPattern.FindAllStringSubmatch(metric[2], -1)
-		for _, selection := range wanted {
-			if !slices.Contains(labels, selection[1]) {
-				missing = append(missing, metric[1]+" by "+selection[1])
+		matchers := labelMatcherPattern.FindAllStringSubmatch(metric[2], -1)
+		for _, matcher := range matchers {
+			if !slices.Contains(labels, matcher[1]) {
+				unknown = append(unknown, metric[1]+" by "+matcher[1])
 			}
-			missing = append(missing, unknownCodes(metric[1], selection)...)
+			unknown = append(unknown, unknownCodes(metric[1], matcher)...)
 		}
 		for _, group := range groupByPattern.FindAllStringSubmatch(expression, -1) {
 			for _, label := range strings.Split(group[1], ", ") {
 				if !slices.Contains(labels, label) {
-					missing = append(missing, metric[1]+" by "+label)
+					unknown = append(unknown, metric[1]+" by "+label)
 				}
 			}
 		}
 	}
-	return missing
+	return unknown
 }
 
 // unknownCodes returns the values of reason and result labels that are not result codes.
 // Denied retries and refusals also have reasons of their own.
-func unknownCodes(metric string, selection []string) []string {
-	own := map[string][]string{
+func unknownCodes(metric string, matcher []string) []string {
+	extraReasons := map[string][]string{
 		"dandelionfield_retries_denied_total": {"tokens", "deadline", "allowance", "budget"},
 		"dandelionfield_refusals_total":       {Throttled},
 	}
-	var missing []string
-	for _, value := range strings.Split(selection[2], "|") {
+	var unknown []string
+	for _, value := range strings.Split(matcher[2], "|") {
 		_, ok := result.Parse(value)
 		if metric == "dandelionfield_retries_denied_total" {
 			ok = false // never one of the results
 		}
-		ok = ok || slices.Contains(own[metric], value)
-		if !ok && (selection[1] == "reason" || selection[1] == "result") {
-			missing = append(missing, value)
+		ok = ok || slices.Contains(extraReasons[metric], value)
+		if !ok && (matcher[1] == "reason" || matcher[1] == "result") {
+			unknown = append(unknown, value)
 		}
 	}
-	return missing
+	return unknown
 }
 
-// TestAlertsNameWhatThereIs checks that every metric in the example rules exists with its
-// labels and values, and that the page for operators has the same rules.
-func TestAlertsNameWhatThereIs(t *testing.T) {
+// TestAlertsUseExistingMetrics checks that every metric in the example rules exists with
+// its labels and values, and that the page for operators has the same rules.
+func TestAlertsUseExistingMetrics(t *testing.T) {
 	is := is.New(t)
 	document, err := os.ReadFile("../../examples/alerts.yaml")
 	is.NoErr(err)
@@ -133,9 +133,9 @@
 	is.Equal(strings.Count(string(page), "| `Dandelionfield"), len(rules.Groups[0].Rules))
 }
 
-// The alerts must cover the reasons with which any kind of node refuses calls, and denied
-// retries, whichever budget denies them.
-func TestAlertsCoverEveryWayOfRefusing(t *testing.T) {
+// The alerts must cover the reasons with which nodes refuse calls, whether or not their
+// targets announce themselves, and denied retries, whichever budget denies them.
+func TestAlertsCoverAllRefusalReasons(t *testing.T) {
 	is := is.New(t)
 	document, err := os.ReadFile("../../examples/alerts.yaml")
 	is.NoErr(err)
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestUnknownMetricsAreFound checks that the mistakes that the rules must not have are
-// found.
-func TestUnknownMetricsAreFound(t *testing.T) {
+// TestUnknownMetricsAreReported checks that unknownInExpression finds an unknown metric,
+// label or label value.
+func TestUnknownMetricsAreReported(t *testing.T) {
 	is := is.New(t)
 	is.Equal(unknownInExpression(`dandelionfield_revisions == 0`), []string{"dandelionfield_revisions"})
 	is.Equal(unknownInExpression(`dandelionfield_refusals_total{kind="a"}`), []string{"dandelionfield_refusals_total by kind"})
--- a/internal/metric/levels.go
+++ b/internal/metric/gauge.go
@@ -18,22 +18,22 @@
 }
 
 // SetSource sets the function that returns the values by label. Until then there are none.
-func (l *DynamicGauge) SetSource(read func() map[string]float64) {
-	l.read.Store(&read)
+func (g *DynamicGauge) SetSource(read func() map[string]float64) {
+	g.read.Store(&read)
 }
 
 // Describe implements prometheus.Collector.
-func (l *DynamicGauge) Describe(descriptions chan<- *prometheus.Desc) {
-	descriptions <- l.description
+func (g *DynamicGauge) Describe(descriptions chan<- *prometheus.Desc) {
+	descriptions <- g.description
 }
 
 // Collect implements prometheus.Collector.
-func (l *DynamicGauge) Collect(metrics chan<- prometheus.Metric) {
-	read := l.read.Load()
+func (g *DynamicGauge) Collect(metrics chan<- prometheus.Metric) {
+	read := g.read.Load()
 	if read == nil {
 		return
 	}
 	for label, value := range (*read)() {
-		metrics <- prometheus.MustNewConstMetric(l.description, prometheus.GaugeValue, value, label)
+		metrics <- prometheus.MustNewConstMetric(g.description, prometheus.GaugeValue, value, label)
 	}
 }
--- a/internal/metric/kinds.go
+++ b/internal/metric/kinds.go
@@ -2,10 +2,10 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Keep removes the series of kinds that are not declared: kinds come and go with
+// RetainKinds removes the series of kinds that are not declared: kinds come and go with
 // declarations, and each has some sixty series. A request in flight may recreate the
 // series of a kind, so they are removed once more at the next call.
-func (s *Set) Keep(declared []string) {
+func (s *Set) RetainKinds(declared []string) {
 	kinds := make(map[string]bool, len(declared))
 	for _, kind := range declared {
 		kinds[kind] = true
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -35,11 +35,12 @@
 	HeldBytes      prometheus.Gauge
 	TargetHealth   prometheus.Gauge
 	RecordBytes    prometheus.Gauge
-	// AttemptRecordsUsed is the used share of the capacity for records of attempts, and TimerLate
-	// how late the node's own timers fire, which indicates a lack of processor time.
+	// AttemptRecordsUsed is the used share of the capacity for records of attempts, and
+	// TimerLate how late the node's own timers fire, which indicates a lack of processor
+	// time.
 	AttemptRecordsUsed prometheus.Gauge
 	TimerLate          prometheus.Histogram
-	// These mirror what a status shows of this node.
+	// The following four metrics show values of this node's status.
 	TargetStopped    *prometheus.GaugeVec
 	UnownedKeyShare  *prometheus.GaugeVec
 	PendingHandovers prometheus.Gauge
--- a/internal/node/doors.go
+++ b/internal/node/adapters.go
@@ -17,8 +17,8 @@
 )
 
 type (
-	// Adapters holds the implementations through which a node reaches its surroundings. A
-	// zero field selects the project's own implementation.
+	// Adapters holds the implementations through which a node reaches the platform, its
+	// callers and its target. A zero field selects the project's own implementation.
 	Adapters struct {
 		// Store accesses the platform.
 		Store *plat.Store
@@ -35,29 +35,29 @@
 		TargetWire local.Wire
 		// Control returns the handler for the heartbeats of a target that announces
 		// itself. It is served at the address of the setting control_listen.
-		Control func(announce TargetEvents) http.Handler
+		Control func(events TargetEvents) http.Handler
 	}
 
 	// TargetEvents holds the callbacks for what a target reports to its node. Each returns
 	// once the node acts on the report.
 	TargetEvents struct {
 		Heartbeat func(b beat.Heartbeat) beat.Verdict
-		Depart    func(id string, bornMS int64)
+		Depart    func(id string, startedMS int64)
 	}
 )
 
 // withDefaults sets unset fields to the project's own implementations.
-func (d Adapters) withDefaults() Adapters {
-	if d.Parse == nil {
-		d.Parse = parseDocument
+func (a Adapters) withDefaults() Adapters {
+	if a.Parse == nil {
+		a.Parse = parseDocument
 	}
-	if d.CallerHandler == nil {
-		d.CallerHandler = filter.Handler
+	if a.CallerHandler == nil {
+		a.CallerHandler = filter.Handler
 	}
-	if d.RefuseUnreadable == nil {
-		d.RefuseUnreadable = filter.UnreadableReply
+	if a.RefuseUnreadable == nil {
+		a.RefuseUnreadable = filter.UnreadableReply
 	}
-	return d
+	return a
 }
 
 // callerServer returns the server for requests of callers and calls of the target.
@@ -85,7 +85,7 @@
 		s.start(bound.ready, &http.Server{Handler: n.readyHandler()})
 	}
 	if bound.control != nil && n.adapters.Control != nil {
-		s.start(bound.control, &http.Server{Handler: n.adapters.Control(n.announce())})
+		s.start(bound.control, &http.Server{Handler: n.adapters.Control(n.targetEvents())})
 	}
 }
 
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -112,7 +112,7 @@
 		Region:            n.settings.Region,
 		Service:           n.settings.Service,
 		State:             self.State.String(),
-		RevisionAgeMS:     n.status.age(now).Milliseconds(),
+		RevisionAgeMS:     n.revisions.age(now).Milliseconds(),
 		PlatformReachable: reachable,
 		PlatformSilentMS:  silent.Milliseconds(),
 		Refusals:          countsByLabel(n.metrics.Refusals, "reason"),
@@ -158,8 +158,8 @@
 	}
 	n.metrics.TargetStopped.WithLabelValues(service).Set(stopped)
 	share := 0.0
-	if lost := unowned(n.plans.get(service), n.liveIncarnations(service), now); lost != nil {
-		share = float64(lost.Slots) / float64(lost.Of)
+	if unownedKeys := unowned(n.plans.get(service), n.liveIncarnations(service), now); unownedKeys != nil {
+		share = float64(unownedKeys.Slots) / float64(unownedKeys.Of)
 	}
 	n.metrics.UnownedKeyShare.WithLabelValues(service).Set(share)
 	n.metrics.PendingHandovers.Set(float64(len(n.takeovers.due(now))))
@@ -169,11 +169,11 @@
 
 // liveIncarnations returns the incarnations of the service that are members.
 func (n *Node) liveIncarnations(service string) map[string]bool {
-	liveIncarnations := map[string]bool{}
+	live := map[string]bool{}
 	for _, m := range n.members.Service(service) {
-		liveIncarnations[m.Incarnation] = true
+		live[m.Incarnation] = true
 	}
-	return liveIncarnations
+	return live
 }
 
 // describeServices takes the load of each target from the report of the node beside it,
@@ -194,36 +194,36 @@
 
 // unowned describes the part of the keys minted now that has no live owner. It returns
 // nil if every key has one.
-func unowned(plan once.Plan, living map[string]bool, now time.Time) *admin.Unowned {
-	lost := &admin.Unowned{Of: len(plan.Slots), Lost: []string{}}
-	var last int64
+func unowned(plan once.Plan, live map[string]bool, now time.Time) *admin.Unowned {
+	result := &admin.Unowned{Of: len(plan.Slots), Lost: []string{}}
+	var latestMS int64
 	for _, slot := range plan.Slots {
-		untilMS, owned := ownedFrom(slot, living, now.UnixMilli(), &lost.Lost)
+		untilMS, owned := ownedAt(slot, live, now.UnixMilli(), &result.Lost)
 		if owned {
 			continue
 		}
-		lost.Slots++
-		last = max(last, untilMS)
+		result.Slots++
+		latestMS = max(latestMS, untilMS)
 	}
-	if lost.Slots == 0 {
+	if result.Slots == 0 {
 		return nil
 	}
-	if last > now.UnixMilli() {
-		lost.Until = time.UnixMilli(last).UTC().Format(time.RFC3339)
+	if latestMS > now.UnixMilli() {
+		result.Until = time.UnixMilli(latestMS).UTC().Format(time.RFC3339)
 	}
-	return lost
+	return result
 }
 
-// ownedFrom reports whether the keys of a slot that are minted at nowMS have a live owner
+// ownedAt reports whether the keys of a slot that are minted at nowMS have a live owner
 // and, if not, until when they have none. It appends the names of holders that are not
-// alive to lost.
-func ownedFrom(slot once.Slot, living map[string]bool, nowMS int64, lost *[]string) (untilMS int64, owned bool) {
+// live to lost.
+func ownedAt(slot once.Slot, live map[string]bool, nowMS int64, lost *[]string) (untilMS int64, owned bool) {
 	untilMS = nowMS
 	for _, holding := range slot.Holdings {
 		if holding.UntilMS <= untilMS || holding.FromMS > untilMS {
 			continue
 		}
-		if living[holding.Owner()] {
+		if live[holding.Owner()] {
 			return untilMS, untilMS == nowMS
 		}
 		untilMS = holding.UntilMS
--- a/internal/node/book_test.go
+++ b/internal/node/attempts_test.go
@@ -18,7 +18,7 @@
 
 // Guards against the attempt records filling up in a surge, when a scheduler's node takes
 // 1,000 attempts a second: with full records every attempt is refused.
-func TestBookHoldsASurge(t *testing.T) {
+func TestAttemptRecordsHoldSurge(t *testing.T) {
 	is := is.New(t)
 	store := plat.NewMemory().Store()
 	n := New(&setup.Node{Name: "node", MemoryBytes: 48 << 20}, hclog.NewNullLogger(), clock.System{}, Adapters{
@@ -26,28 +26,28 @@
 		Control: silentControl,
 	})
 	settings := n.attemptRecordSettings(n.settings.MemoryBytes / recordMemoryDivisor)
-	book := dedup.New[*relaypb.CarryResponse](settings)
+	attempts := dedup.New[*relaypb.CarryResponse](settings)
 	start := time.Now()
 	for second := range 90 {
 		now := start.Add(time.Duration(second) * time.Second)
 		for range 1000 {
 			id := attemptIDMintedAt(now)
-			verdict, _ := book.Begin(now, id)
+			verdict, _ := attempts.Begin(now, id)
 			if verdict != dedup.Fresh {
 				t.Fatalf("verdict %v in second %d", verdict, second)
 			}
-			book.End(now, id, &relaypb.CarryResponse{}, 400)
+			attempts.End(now, id, &relaypb.CarryResponse{}, 400)
 		}
-		book.Forget(now)
+		attempts.Forget(now)
 	}
-	is.Equal(book.Stats().Refused, int64(0))
-	is.True(book.Stats().Bytes <= n.settings.MemoryBytes/recordMemoryDivisor)
+	is.Equal(attempts.Stats().Refused, int64(0))
+	is.True(attempts.Stats().Bytes <= n.settings.MemoryBytes/recordMemoryDivisor)
 }
 
-// The four targets of the deepest service get 8,700 calls a second between them on an
-// ordinary day. In a surge of 1.7 times that with one of the four gone, each of the
-// others gets about 5,000.
-func TestBookHoldsTheBusiestService(t *testing.T) {
+// Guards against the attempt records of the busiest service filling up. On an ordinary
+// day its four targets together get 8,700 calls a second. In a surge to 1.7 times that
+// rate, with one of the four gone, each of the others gets about 5,000.
+func TestAttemptRecordsHoldBusiestService(t *testing.T) {
 	const perSecond = 5000
 	is := is.New(t)
 	store := plat.NewMemory().Store()
@@ -55,20 +55,20 @@
 		Store:   &store,
 		Control: silentControl,
 	})
-	book := dedup.New[*relaypb.CarryResponse](n.attemptRecordSettings(n.settings.MemoryBytes / recordMemoryDivisor))
+	attempts := dedup.New[*relaypb.CarryResponse](n.attemptRecordSettings(n.settings.MemoryBytes / recordMemoryDivisor))
 	start := time.Now()
 	for second := range 60 {
 		now := start.Add(time.Duration(second) * time.Second)
 		for range perSecond {
 			id := attemptIDMintedAt(now)
-			if verdict, _ := book.Begin(now, id); verdict != dedup.Fresh {
+			if verdict, _ := attempts.Begin(now, id); verdict != dedup.Fresh {
 				t.Fatalf("verdict %v in second %d", verdict, second)
 			}
-			book.End(now, id, &relaypb.CarryResponse{}, 400)
+			attempts.End(now, id, &relaypb.CarryResponse{}, 400)
 		}
-		book.Forget(now)
+		attempts.Forget(now)
 	}
-	is.True(book.Stats().Bytes <= n.settings.MemoryBytes/recordMemoryDivisor)
+	is.True(attempts.Stats().Bytes <= n.settings.MemoryBytes/recordMemoryDivisor)
 }
 
 // attemptIDMintedAt returns a fresh attempt id that was minted at the given time.
--- a/internal/node/parts.go
+++ b/internal/node/components.go
@@ -40,8 +40,8 @@
 	// nodeRetryShare is the part of the retry budget that a node spends on requests that
 	// arrived at it, mayHaveRunShare the part for retries of calls that may have run, and
 	// slackShare the part of the fixed slack that all nodes together take. The rest
-	// covers what the nodes cannot see: windows with other boundaries, and calls that are
-	// made again by a call that ran again.
+	// covers retries that the nodes cannot see: those in windows with other boundaries, and
+	// calls that a target makes again because a call to it ran again.
 	nodeRetryShare  = 0.7
 	mayHaveRunShare = 0.15
 	slackShare      = 0.5
@@ -132,8 +132,8 @@
 func (n *Node) retryBudgetRule() budget.Rule {
 	slack := 0.0
 	if n.members.Ready() {
-		beside := len(n.members.Service(n.settings.Service))
-		slack = float64(n.settings.RetrySlack) * slackShare / float64(max(beside, 1))
+		nodeCount := len(n.members.Service(n.settings.Service))
+		slack = float64(n.settings.RetrySlack) * slackShare / float64(max(nodeCount, 1))
 	}
 	return budget.Rule{
 		Share:           n.settings.RetryShare * nodeRetryShare,
@@ -150,30 +150,30 @@
 	recordBytes := n.settings.MemoryBytes / recordMemoryDivisor
 	target := local.NewTarget(n.settings.TargetAddress, service.Connections, n.heldAnswers)
 	target.Wire = n.adapters.TargetWire
-	var admits func(targetID string) result.Code
-	var pressed func(kind string) []*relaypb.Pressed
-	var retryBudgetRule func() budget.Rule
+	var checkTarget func(targetID string) result.Code
+	var pressureReports func(kind string) []*relaypb.Pressed
+	var retryRule func() budget.Rule
 	if n.settings.RetryWindow > 0 {
-		retryBudgetRule = n.retryBudgetRule
+		retryRule = n.retryBudgetRule
 	}
 	if n.targetsAnnounce() {
-		admits = n.admits
-		pressed = n.sender.PressureReports
+		checkTarget = n.admits
+		pressureReports = n.sender.PressureReports
 	}
 	return local.New(local.Settings{
 		Incarnation:    n.incarnation,
 		Service:        n.settings.Service,
 		Target:         target,
-		CheckTarget:    admits,
-		RetryRule:      retryBudgetRule,
-		Pressed:        pressed,
+		CheckTarget:    checkTarget,
+		RetryRule:      retryRule,
+		Pressed:        pressureReports,
 		FailureLimiter: loglim.NewLimiter(failureLinesPerSecond, time.Second),
 		Clock:          n.clock,
 		Metrics:        n.metrics,
 		Log:            n.log.Named("local"),
 		Gate:           admit.NewGate(n.gateSettings(service)),
 		AttemptRecords: dedup.New[*relaypb.CarryResponse](n.attemptRecordSettings(recordBytes)),
-		Ledger:         once.NewLedger[*relaypb.CarryResponse](n.owner(), ownerRules(schema.DefaultLimits()), recordBytes),
+		Ledger:         once.NewLedger[*relaypb.CarryResponse](n.selfNode(), ownerRules(schema.DefaultLimits()), recordBytes),
 		LedgerBytes:    recordBytes,
 		Kind:           n.kind,
 		Limits:         n.limits,
@@ -202,7 +202,7 @@
 
 func (n *Node) inboundFilters() *filter.Inbound {
 	host, _, _ := net.SplitHostPort(n.settings.TargetAddress)
-	inboundFilters := &filter.Inbound{
+	inbound := &filter.Inbound{
 		FailureLimiter: loglim.NewLimiter(failureLinesPerSecond, time.Second),
 		Clock:          n.clock,
 		Metrics:        n.metrics,
@@ -215,13 +215,13 @@
 		ChainAdmits:    n.sender.Allows,
 	}
 	if n.targetsAnnounce() {
-		// Where calls do not name the request that they are made for, their floors say
-		// nothing at the request's entry. The throttle goes by the results of requests.
-		inboundFilters.Throttle = n.sender.Admits
-		inboundFilters.Ended = n.sender.RecordEnd
-		inboundFilters.ChainAdmits = nil
+		// Where calls do not name the request that they are made for, their floors cannot
+		// be applied at the request's entry. The throttle uses the results of requests.
+		inbound.Throttle = n.sender.Admits
+		inbound.Ended = n.sender.RecordEnd
+		inbound.ChainAdmits = nil
 	}
-	return inboundFilters
+	return inbound
 }
 
 // knownFloors returns the known admission floors along the call chain of a kind.
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -14,9 +14,9 @@
 	healthTimeout = 500 * time.Millisecond
 )
 
-// watchHealth publishes the state of the target's health endpoint as a metric. Nothing is
-// decided by that state, because such endpoints lag behind and mislead: a target is
-// judged by the calls to it.
+// watchHealth publishes the state of the target's health endpoint as a metric. The node
+// bases no decision on that state, because such endpoints lag behind and mislead; it goes
+// by the results of calls to the target instead.
 func (n *Node) watchHealth(ctx context.Context) {
 	client := &http.Client{Timeout: healthTimeout}
 	for {
--- a/internal/node/kinds_test.go
+++ b/internal/node/kinds_test.go
@@ -17,7 +17,7 @@
 
 // Guards against leaks when kinds are declared, get requests and are removed, many times
 // over: the state and metrics of a node must stay bounded by the declared kinds.
-func TestRemovedKindsAreForgotten(t *testing.T) {
+func TestStateOfRemovedKindsIsDropped(t *testing.T) {
 	is := is.New(t)
 	const changes = 30
 	settings := &setup.Node{Name: "a", Service: "s", TargetAddress: "127.0.0.1:1", PlatformAddress: "127.0.0.1:1", MemoryBytes: 16 << 20}
--- a/internal/node/memory_test.go
+++ b/internal/node/memory_test.go
@@ -27,9 +27,9 @@
 
 // attemptAndKeyRecords holds the records of attempts and of idempotency keys of one node.
 type attemptAndKeyRecords struct {
-	book   *dedup.Store[*relaypb.CarryResponse]
-	ledger *once.Ledger[*relaypb.CarryResponse]
-	now    time.Time
+	attempts *dedup.Store[*relaypb.CarryResponse]
+	ledger   *once.Ledger[*relaypb.CarryResponse]
+	now      time.Time
 }
 
 func newRecords(memoryBytes int64) *attemptAndKeyRecords {
@@ -39,8 +39,8 @@
 	ledger := once.NewLedger[*relaypb.CarryResponse](self, rules, memoryBytes/recordMemoryDivisor)
 	plan, _ := once.Next(now.Add(-10*time.Minute), once.Plan{}, self, nil, rules)
 	ledger.ApplyPlan(plan)
-	book := dedup.New[*relaypb.CarryResponse](dedup.Settings{Retention: attemptRetention, MaxBytes: memoryBytes / recordMemoryDivisor, Margin: schema.MaxClockMargin})
-	return &attemptAndKeyRecords{book: book, ledger: ledger, now: now}
+	attempts := dedup.New[*relaypb.CarryResponse](dedup.Settings{Retention: attemptRetention, MaxBytes: memoryBytes / recordMemoryDivisor, Margin: schema.MaxClockMargin})
+	return &attemptAndKeyRecords{attempts: attempts, ledger: ledger, now: now}
 }
 
 // serveSecond records the calls of one second. Each call whose index is a multiple of
@@ -50,8 +50,8 @@
 		now := r.now.Add(time.Second * time.Duration(i) / time.Duration(calls))
 		id := attemptIDAt(now)
 		answer := &relaypb.CarryResponse{Code: 100, Status: 200, Body: make([]byte, answerBytes), AttemptId: id}
-		r.book.Begin(now, id)
-		r.book.End(now, id, answer, answerBytes)
+		r.attempts.Begin(now, id)
+		r.attempts.End(now, id, answer, answerBytes)
 		if i%every == 0 {
 			key := once.Mint(now)
 			r.ledger.Accept(now, key, "order", 1)
@@ -61,7 +61,7 @@
 		}
 	}
 	r.now = r.now.Add(time.Second)
-	r.book.Forget(r.now)
+	r.attempts.Forget(r.now)
 	r.ledger.Forget(r.now)
 }
 
@@ -75,12 +75,12 @@
 	return id.String()
 }
 
-// TestMemoryBytesHoldTheTwoYearLoad checks that the default refuses no call and drops no
+// TestMemoryBytesHoldProjectedLoad checks that the default refuses no call and drops no
 // answer until all records have reached their maximum age, and that it fits into what the
 // budget of 64 MB leaves beside the 43 MB of an idle node in a mesh of 120. At 530 nodes
 // an idle node holds more (docs/CAPACITY.md). The smallest permitted setting must still
 // refuse no call.
-func TestMemoryBytesHoldTheTwoYearLoad(t *testing.T) {
+func TestMemoryBytesHoldProjectedLoad(t *testing.T) {
 	const leftBytes = 64_000_000 - 43_000_000
 	is := is.New(t)
 	for _, c := range []struct {
@@ -104,17 +104,18 @@
 		for range schema.DefaultLimits().KeyAge/time.Second + 60 {
 			r.serveSecond(callsPerSecond, keyedEvery)
 		}
-		is.Equal(r.book.Stats().Refused, int64(0))
+		is.Equal(r.attempts.Stats().Refused, int64(0))
 		is.Equal(r.ledger.Stats().Refused, int64(0))
 		if !c.dropped {
-			is.Equal(r.book.Stats().Dropped, int64(0))
+			is.Equal(r.attempts.Stats().Dropped, int64(0))
 			is.Equal(r.ledger.Stats().Dropped, int64(0))
 		}
 	}
 }
 
-// BenchmarkMemory reports what the memory bound refuses and drops, as shares of the calls
-// and of the keys, and the heap use of the records, for 16 minutes of the two-year load.
+// BenchmarkMemory reports how many calls and keys are refused and how many answers are
+// dropped under the memory bound, as shares of the calls and of the keys, and the heap use
+// of the records, for 16 minutes of the load projected for two years ahead.
 func BenchmarkMemory(b *testing.B) {
 	const seconds = 16 * 60
 	for _, memoryMiB := range []int64{16, 32, 36, 64, 96, 256} {
@@ -131,11 +132,11 @@
 				b.ReportMetric((heapBytes()-before)/1e6, "heap-MB")
 				calls := float64(seconds * callsPerSecond)
 				keys := float64(seconds * ((callsPerSecond + every - 1) / every))
-				book, ledger := r.book.Stats(), r.ledger.Stats()
-				b.ReportMetric(float64(book.Bytes)/1e6, "book-MB")
+				attempts, ledger := r.attempts.Stats(), r.ledger.Stats()
+				b.ReportMetric(float64(attempts.Bytes)/1e6, "book-MB")
 				b.ReportMetric(float64(ledger.Bytes)/1e6, "ledger-MB")
-				b.ReportMetric(float64(book.Refused)/calls, "calls-refused")
-				b.ReportMetric(float64(book.Dropped)/calls, "answers-dropped")
+				b.ReportMetric(float64(attempts.Refused)/calls, "calls-refused")
+				b.ReportMetric(float64(attempts.Dropped)/calls, "answers-dropped")
 				b.ReportMetric(float64(ledger.Refused)/keys, "keys-refused")
 				b.ReportMetric(float64(ledger.Dropped)/keys, "keys-dropped")
 				runtime.KeepAlive(r)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -51,7 +51,7 @@
 	rules       atomic.Pointer[filter.Rules]
 	plans       plans
 	takeovers   takeovers
-	status      revisionTracker
+	revisions   revisionTracker
 	platform    platformHealth
 
 	// targetsMu serialises the updates of the sender's targets.
@@ -288,7 +288,7 @@
 
 func listen(settings *setup.Node) (*listeners, error) {
 	bound := &listeners{}
-	for _, one := range []struct {
+	for _, binding := range []struct {
 		address string
 		into    *net.Listener
 	}{
@@ -296,11 +296,11 @@
 		{settings.CallerListen, &bound.caller},
 		{settings.AdminListen, &bound.admin},
 	} {
-		listener, err := net.Listen("tcp", one.address)
+		listener, err := net.Listen("tcp", binding.address)
 		if err != nil {
 			return nil, err
 		}
-		*one.into = listener
+		*binding.into = listener
 	}
 	if err := listenOptional(settings.ReadyListen, &bound.ready); err != nil {
 		return nil, err
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// owner describes this node as plans do.
-func (n *Node) owner() once.Node {
+// selfNode returns the description of this node for owner plans.
+func (n *Node) selfNode() once.Node {
 	return once.Node{
 		Name:        n.settings.Name,
 		Incarnation: n.incarnation,
@@ -90,12 +90,12 @@
 }
 
 func (n *Node) nextPlan(now time.Time, plan once.Plan) (once.Plan, bool) {
-	return once.Next(now, plan, n.owner(), n.owners(), ownerRules(n.limits()))
+	return once.Next(now, plan, n.selfNode(), n.eligibleOwners(), ownerRules(n.limits()))
 }
 
-// changePlan commits a change of the plan, if one is needed. The ledger gives up what the
-// change takes away before the change is written to the table. changePlan returns false if
-// the change could not be committed.
+// changePlan commits a change of the plan, if one is needed. Before the change is written
+// to the table, the ledger gives up the holdings that the change takes from this node.
+// changePlan returns false if the change could not be committed.
 func (n *Node) changePlan(ctx context.Context, change func(now time.Time, plan once.Plan) (once.Plan, bool)) bool {
 	ctx, cancel := context.WithTimeout(ctx, planTimeout)
 	defer cancel()
@@ -157,8 +157,9 @@
 	return false
 }
 
-// owners returns the nodes that may own keys of this node's service.
-func (n *Node) owners() []once.Node {
+// eligibleOwners returns the nodes of this node's service that have passed Starting and
+// so may own its keys.
+func (n *Node) eligibleOwners() []once.Node {
 	var nodes []once.Node
 	for _, m := range n.members.Service(n.settings.Service) {
 		if m.State == member.Starting {
@@ -176,9 +177,9 @@
 }
 
 // ownerOf returns the incarnation that runs requests with a key, or the result code that
-// says why there is none.
+// says why no incarnation does.
 func (n *Node) ownerOf(service string, key once.Key, fresh bool) (string, result.Code) {
-	living := func(incarnation string) bool {
+	isLive := func(incarnation string) bool {
 		for _, m := range n.members.Service(service) {
 			if m.Incarnation == incarnation {
 				return true
@@ -187,7 +188,7 @@
 		return false
 	}
 	plan := n.plans.get(service)
-	holding, code := once.Route(n.clock.Now(), plan, key, !fresh, living, ownerRules(n.limits()))
+	holding, code := once.Route(n.clock.Now(), plan, key, !fresh, isLive, ownerRules(n.limits()))
 	if code != 0 {
 		return "", code
 	}
@@ -223,7 +224,7 @@
 	}
 	var records []once.Record[*relaypb.CarryResponse]
 	n.local.WithLedger(func(ledger *once.Ledger[*relaypb.CarryResponse]) { records = ledger.Export() })
-	for _, successor := range n.owners() {
+	for _, successor := range n.eligibleOwners() {
 		if successor.Leaving || successor.Incarnation == n.incarnation {
 			continue
 		}
@@ -240,7 +241,7 @@
 func (n *Node) commitHandover(ctx context.Context, successor once.Node) {
 	const tries = 5
 	change := func(now time.Time, plan once.Plan) (once.Plan, bool) {
-		return once.HandOver(now, plan, n.owner(), successor, ownerRules(n.limits()))
+		return once.HandOver(now, plan, n.selfNode(), successor, ownerRules(n.limits()))
 	}
 	for range tries {
 		if n.changePlan(ctx, change) {
--- a/internal/node/rules.go
+++ b/internal/node/rules.go
@@ -16,8 +16,8 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// revisionTracker wakes those who wait for the next revision, and records when the
-// current one took effect.
+// revisionTracker wakes the goroutines that wait for the next revision, and records when
+// the current one took effect.
 type revisionTracker struct {
 	mu      sync.Mutex
 	changed chan struct{}
@@ -58,7 +58,7 @@
 		}
 	}
 	n.forgetUndeclaredKinds(chains)
-	n.local.SetKeyRules(n.owner(), ownerRules(set.Limits), set.Limits.RecordBytes)
+	n.local.SetKeyRules(n.selfNode(), ownerRules(set.Limits), set.Limits.RecordBytes)
 	if document, version := n.config.Plan(n.settings.Service); version > 0 {
 		n.learnPlan(n.settings.Service, document, version)
 	}
@@ -67,7 +67,7 @@
 	}
 	n.members.SetSelf(func(self *member.Member) { self.Revision = revision.Number })
 	n.membersChanged()
-	n.status.advance(n.clock.Now())
+	n.revisions.advance(n.clock.Now())
 	n.metrics.Revision.Set(float64(revision.Number))
 	n.log.Info("revision_in_force", "revision", revision.Number, "digest", revision.Digest)
 }
@@ -81,7 +81,7 @@
 	}
 	n.sender.RetainKinds(declared)
 	n.local.RetainKinds(declared)
-	n.metrics.Keep(slices.Collect(maps.Keys(chains)))
+	n.metrics.RetainKinds(slices.Collect(maps.Keys(chains)))
 }
 
 // becomeActive announces the node as a target once it has the configuration, a view of
@@ -224,7 +224,7 @@
 // watch blocks until a revision newer than after is in force.
 func (n *Node) watch(ctx context.Context, after int64) (int64, *schema.Set, error) {
 	for {
-		changed := n.status.wait()
+		changed := n.revisions.wait()
 		if current := n.config.Current(); current != nil && current.Number > after {
 			return current.Number, current.Set, nil
 		}
@@ -236,7 +236,7 @@
 	}
 }
 
-// advance records that a new revision took effect and wakes those who wait.
+// advance records that a new revision took effect and wakes the waiting goroutines.
 func (t *revisionTracker) advance(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -21,7 +21,7 @@
 // Guards against an older view of the members replacing a newer one when the updates of
 // two members arrive at the same time: calls must go by the latest view, whichever update
 // is processed last.
-func TestLastViewIsInForce(t *testing.T) {
+func TestConcurrentUpdatesKeepLatestView(t *testing.T) {
 	is := is.New(t)
 	settings := &setup.Node{Name: "a", Service: "s", TargetAddress: "127.0.0.1:1", PlatformAddress: "127.0.0.1:1", MemoryBytes: 16 << 20}
 	declared := func([]byte) (*schema.Set, error) { return &schema.Set{Services: []schema.Service{{Name: "s"}}}, nil }
@@ -56,7 +56,7 @@
 
 // A node that does not know yet how many nodes are beside targets of its service must not
 // spend any of the retry slack that they share.
-func TestSlackOfRepeatsWaitsForTheView(t *testing.T) {
+func TestRetrySlackIsZeroBeforeViewIsReady(t *testing.T) {
 	is := is.New(t)
 	settings := &setup.Node{
 		Name: "a", Service: "s", TargetAddress: "127.0.0.1:1", PlatformAddress: "127.0.0.1:1", MemoryBytes: 16 << 20,
--- a/internal/node/status_test.go
+++ b/internal/node/status_test.go
@@ -20,9 +20,9 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-// TestUnownedIsWhatALostHostCosts checks which keys have no owner in a plan of four slots
-// at second 100, when node b is lost.
-func TestUnownedIsWhatALostHostCosts(t *testing.T) {
+// TestUnownedKeysAfterHostLoss checks which keys have no owner in a plan of four slots at
+// second 100, when node b is lost.
+func TestUnownedKeysAfterHostLoss(t *testing.T) {
 	now := time.Unix(100, 0)
 	hold := func(name string, from, until int64) once.Holding {
 		return once.Holding{Name: name, Incarnation: name + "1", FromMS: from * 1000, UntilMS: until * 1000}
@@ -54,10 +54,10 @@
 	}
 }
 
-// TestReportTellsWhatOnlyTheNodeKnows checks the report and the metrics of a node that
-// has imported records and has waited takeoverDelay for the leaving node to commit the
-// change of the plan.
-func TestReportTellsWhatOnlyTheNodeKnows(t *testing.T) {
+// TestReportAndMetricsShowPendingHandover checks the report and the metrics of a node
+// that has imported records and has waited takeoverDelay for the leaving node to commit
+// the change of the plan.
+func TestReportAndMetricsShowPendingHandover(t *testing.T) {
 	is := is.New(t)
 	settings := &setup.Node{Name: "a", Service: "s", TargetAddress: "127.0.0.1:1", PlatformAddress: "127.0.0.1:1", MemoryBytes: 16 << 20}
 	n := New(settings, hclog.NewNullLogger(), clock.System{}, Adapters{})
--- a/internal/node/heir.go
+++ b/internal/node/takeover.go
@@ -12,8 +12,8 @@
 // takeovers holds the incarnations whose records this node has imported, with the time of
 // the import, until the plan names this node as the owner of the records.
 type takeovers struct {
-	mu   sync.Mutex
-	from map[string]time.Time
+	mu         sync.Mutex
+	importedAt map[string]time.Time
 }
 
 // importRecords imports the records of a leaving node and reports whether they were
@@ -39,7 +39,7 @@
 	for _, incarnation := range n.takeovers.due(n.clock.Now()) {
 		from := once.Node{Incarnation: incarnation}
 		change := func(now time.Time, plan once.Plan) (once.Plan, bool) {
-			return once.HandOver(now, plan, from, n.owner(), ownerRules(n.limits()))
+			return once.HandOver(now, plan, from, n.selfNode(), ownerRules(n.limits()))
 		}
 		// The plan known locally may be too old to name the incarnation.
 		if n.config.PollPlan(ctx) != nil || !n.changePlan(ctx, change) {
@@ -53,10 +53,10 @@
 func (t *takeovers) add(incarnation string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.from == nil {
-		t.from = map[string]time.Time{}
+	if t.importedAt == nil {
+		t.importedAt = map[string]time.Time{}
 	}
-	t.from[incarnation] = now
+	t.importedAt[incarnation] = now
 }
 
 // due returns the incarnations whose records were imported at least takeoverDelay ago.
@@ -64,8 +64,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var incarnations []string
-	for incarnation, taken := range t.from {
-		if now.Sub(taken) >= takeoverDelay {
+	for incarnation, imported := range t.importedAt {
+		if now.Sub(imported) >= takeoverDelay {
 			incarnations = append(incarnations, incarnation)
 		}
 	}
@@ -75,5 +75,5 @@
 func (t *takeovers) remove(incarnation string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.from, incarnation)
+	delete(t.importedAt, incarnation)
 }
--- a/internal/node/target.go
+++ b/internal/node/target.go
@@ -22,8 +22,8 @@
 // until the update has reached the nodes that send them.
 const departureGrace = 700 * time.Millisecond
 
-// announce returns the callbacks for the target's heartbeats.
-func (n *Node) announce() TargetEvents {
+// targetEvents returns the callbacks for the target's heartbeats.
+func (n *Node) targetEvents() TargetEvents {
 	return TargetEvents{Heartbeat: n.heartbeat, Depart: n.departed}
 }
 
@@ -49,11 +49,11 @@
 }
 
 // departed records that a process of the target has exited or is about to.
-func (n *Node) departed(id string, bornMS int64) {
+func (n *Node) departed(id string, startedMS int64) {
 	n.targetPresence.applyMu.Lock()
 	defer n.targetPresence.applyMu.Unlock()
 	n.targetPresence.mu.Lock()
-	changed := n.targetPresence.heartbeats.Depart(n.clock.Now(), id, bornMS)
+	changed := n.targetPresence.heartbeats.Depart(n.clock.Now(), id, startedMS)
 	target, _ := n.targetPresence.heartbeats.Target()
 	n.targetPresence.mu.Unlock()
 	if !changed {
@@ -89,8 +89,8 @@
 
 // admits reports whether a process of the target accepts a call. A process that leaves
 // accepts calls until departureGrace has passed since its departure was known. Time for
-// which the host was suspended counts: a node that was suspended meanwhile resumes too
-// late.
+// which the host was suspended counts, because the grace period may have passed by the
+// time that a suspended node resumes.
 func (n *Node) admits(targetID string) result.Code {
 	n.targetPresence.mu.Lock()
 	target, known := n.targetPresence.heartbeats.Target()
