--- a/internal/link/client.go
+++ b/internal/link/client.go
@@ -25,16 +25,16 @@
 		// goingAway is set once the peer has sent a goAwayFrame.
 		goingAway bool
 		// pingSentAt is when the unanswered ping was sent, zero if there is none. Only
-		// the goroutine that monitors the pool uses it.
+		// the goroutine that runs Pool.monitor uses it.
 		pingSentAt time.Time
 	}
 
-	// pending is a call that awaits its response. answer and err are set before done is
+	// pending is a call that awaits its response. response and err are set before done is
 	// closed.
 	pending struct {
-		done   chan struct{}
-		answer *relaypb.CarryResponse
-		err    error
+		done     chan struct{}
+		response *relaypb.CarryResponse
+		err      error
 	}
 )
 
@@ -70,7 +70,7 @@
 	}
 	select {
 	case <-p.done:
-		return p.answer, p.err
+		return p.response, p.err
 	case <-ctx.Done():
 	}
 	if c.removePending(number) {
@@ -79,7 +79,7 @@
 		return nil, ctx.Err()
 	}
 	<-p.done
-	return p.answer, p.err
+	return p.response, p.err
 }
 
 // Usable reports whether further calls may be sent.
@@ -118,10 +118,10 @@
 func (c *Client) removePending(number uint32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, waits := c.pending[number]
+	_, found := c.pending[number]
 	delete(c.pending, number)
 	c.lastUsed = time.Now()
-	return waits
+	return found
 }
 
 // takePending removes a call from the pending ones and returns it, nil if it was not
@@ -152,14 +152,14 @@
 
 func (c *Client) handle(got frame) {
 	switch got.kind {
-	case answerFrame:
+	case responseFrame:
 		if p := c.takePending(got.call); p != nil {
-			p.answer, p.err = decodeResponse(got.body)
+			p.response, p.err = decodeResponse(got.body)
 			close(p.done)
 		}
-	case noAnswerFrame:
+	case noResponseFrame:
 		if p := c.takePending(got.call); p != nil {
-			p.fail(ErrNoAnswer)
+			p.fail(ErrNoResponse)
 		}
 	case tooLargeFrame:
 		if p := c.takePending(got.call); p != nil {
@@ -195,10 +195,10 @@
 	c.stop()
 	reason := c.conn.failure()
 	c.mu.Lock()
-	left := c.pending
+	unanswered := c.pending
 	c.pending = map[uint32]*pending{}
 	c.mu.Unlock()
-	for _, p := range left {
+	for _, p := range unanswered {
 		p.fail(reason)
 	}
 }
--- a/internal/link/codec.go
+++ b/internal/link/decoder.go
@@ -44,6 +44,8 @@
 
 var errMalformedFrame = errors.New("link: malformed message in frame")
 
+// newDecoder returns a decoder for the message of a frame, given the numbers of the fields
+// that hold its headers and its body.
 func newDecoder(frame []byte, headers, body protowire.Number) *decoder {
 	d := &decoder{frame: frame, bodyBegin: len(frame), bodyEnd: len(frame)}
 	count := 0
@@ -117,6 +119,7 @@
 	return d.text[f.begin:f.end]
 }
 
+// body returns a copy of the body field, nil if it is empty.
 func (d *decoder) body() []byte {
 	if d.bodyBegin == d.bodyEnd {
 		return nil
@@ -209,7 +212,7 @@
 	}
 }
 
-// decodeResponse decodes the message of an answerFrame.
+// decodeResponse decodes the message of a responseFrame.
 func decodeResponse(frame []byte) (*relaypb.CarryResponse, error) {
 	d := newDecoder(frame, responseHeaders, responseBody)
 	r := &relaypb.CarryResponse{}
--- a/internal/link/codec_test.go
+++ b/internal/link/decoder_test.go
@@ -60,7 +60,7 @@
 
 // The decoder reads what the generated code wrote, and the decoded message does not
 // change when the frame's buffer is reused.
-func TestDecoderReadsWhatWasWritten(t *testing.T) {
+func TestDecoderMatchesGeneratedCode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		request, response := drawRequest(t), drawResponse(t)
 		for _, message := range []proto.Message{request, response} {
@@ -84,7 +84,7 @@
 
 // Guards against a field that is added to relay.proto later but not to the decoder, which
 // would be lost on links only.
-func TestDecoderKnowsEveryField(t *testing.T) {
+func TestDecoderCoversEveryField(t *testing.T) {
 	is := is.New(t)
 	is.Equal((&relaypb.CarryRequest{}).ProtoReflect().Descriptor().Fields().Len(), 20)
 	is.Equal((&relaypb.CarryResponse{}).ProtoReflect().Descriptor().Fields().Len(), 15)
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -29,7 +29,8 @@
 	// frame is one frame without its length field.
 	frame struct {
 		kind frameKind
-		// call is the number of the call, assigned by the calling side.
+		// call is the number of the call, assigned by the calling side. In a
+		// goAwayFrame it is the number of the last accepted call.
 		call uint32
 		body []byte
 	}
@@ -55,13 +56,13 @@
 
 // Kinds of frames.
 const (
-	// callFrame and answerFrame carry a request and its response.
+	// callFrame and responseFrame carry a request and its response.
 	callFrame frameKind = iota + 1
-	answerFrame
-	// cancelFrame says that the caller has given up on the call, and noAnswerFrame that
+	responseFrame
+	// cancelFrame says that the caller has given up on the call, and noResponseFrame that
 	// the call ended without a response.
 	cancelFrame
-	noAnswerFrame
+	noResponseFrame
 	// tooLargeFrame says that the response exceeds the size limit of a frame.
 	tooLargeFrame
 	// pingFrame requests a pongFrame.
@@ -90,7 +91,8 @@
 	readBufferBytes  = 4 << 10
 	handshakeTimeout = 500 * time.Millisecond
 	writeTimeout     = 5 * time.Second
-	pingNumber       = 1
+	// pingNumber is the call number in a pingFrame, which belongs to no call.
+	pingNumber = 1
 )
 
 // Reasons why a call has no response.
@@ -100,10 +102,10 @@
 	ErrNotAccepted = errors.New("link: call not accepted by the peer")
 	// ErrTooLarge means that a message exceeds the size limit of a frame.
 	ErrTooLarge = errors.New("link: message too large")
-	// ErrNoAnswer means that the peer ended the call without a response.
-	ErrNoAnswer = errors.New("link: call ended without a response")
+	// ErrNoResponse means that the peer ended the call without a response.
+	ErrNoResponse = errors.New("link: call ended without a response")
 	// ErrSilent means that the connection was closed because the peer did not answer a
-	// ping.
+	// ping in time.
 	ErrSilent = errors.New("link: peer did not answer the ping")
 	// ErrOtherProtocol means that the peer does not speak this protocol.
 	ErrOtherProtocol = errors.New("link: peer does not speak the link protocol")
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -19,7 +19,7 @@
 	"github.com/dandelionfield/dandelionfield/internal/relaypb/relaypbconnect"
 )
 
-// echoHandler answers calls over connect-go as the link server of the tests does.
+// echoHandler answers calls over connect-go as respond answers them over links.
 type echoHandler struct {
 	relaypbconnect.UnimplementedRelayHandler
 }
@@ -27,10 +27,10 @@
 var shortTimeouts = Keepalive{PingAfter: 300 * time.Millisecond, PingTimeout: 300 * time.Millisecond, IdleTimeout: time.Second}
 
 func (echoHandler) Carry(ctx context.Context, request *connect.Request[relaypb.CarryRequest]) (*connect.Response[relaypb.CarryResponse], error) {
-	return connect.NewResponse(answer(ctx, request.Msg)), nil
+	return connect.NewResponse(respond(ctx, request.Msg)), nil
 }
 
-func answer(_ context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
+func respond(_ context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
 	return &relaypb.CarryResponse{AttemptId: request.AttemptId, Code: 100, Status: 200, Body: request.Body}
 }
 
@@ -60,10 +60,10 @@
 	return ctx
 }
 
-func TestEachCallReceivesItsOwnAnswer(t *testing.T) {
+func TestConcurrentCallsReceiveTheirOwnResponses(t *testing.T) {
 	address := serve(t, &Server{Carry: func(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
-		time.Sleep(time.Duration(len(request.Body)%7) * time.Millisecond) // reorders the answers
-		return answer(ctx, request)
+		time.Sleep(time.Duration(len(request.Body)%7) * time.Millisecond) // reorders the responses
+		return respond(ctx, request)
 	}})
 	pool := newPool()
 	const calls = 200
@@ -73,7 +73,7 @@
 			request := &relaypb.CarryRequest{AttemptId: fmt.Sprint(i), Body: make([]byte, i*500)}
 			response, err := pool.Carry(testContext(t), address, request)
 			if err == nil && (response.AttemptId != request.AttemptId || len(response.Body) != len(request.Body)) {
-				err = errors.New("received the answer of another call")
+				err = errors.New("received the response of another call")
 			}
 			errs <- err
 		}()
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestCancellationReachesTheServer(t *testing.T) {
+func TestCancellationPropagatesToServer(t *testing.T) {
 	is := is.New(t)
 	began, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	address := serve(t, &Server{Carry: func(ctx context.Context, _ *relaypb.CarryRequest) *relaypb.CarryResponse {
@@ -92,10 +92,10 @@
 		ended <- struct{}{}
 		return nil
 	}})
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-began
-		leave()
+		cancel()
 	}()
 	_, err := newPool().Carry(ctx, address, &relaypb.CarryRequest{})
 	is.True(errors.Is(err, context.Canceled))
@@ -109,13 +109,13 @@
 
 // A node that shuts down answers the calls it has accepted. Further calls fail with
 // ErrNotAccepted, so that callers may send them elsewhere.
-func TestClosingNodeTakesNoFurtherCall(t *testing.T) {
+func TestClosingServerRejectsNewCalls(t *testing.T) {
 	is := is.New(t)
 	began, release := make(chan struct{}, 1), make(chan struct{})
 	server := &Server{Carry: func(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
 		began <- struct{}{}
 		<-release
-		return answer(ctx, request)
+		return respond(ctx, request)
 	}}
 	address := serve(t, server)
 	pool := newPool()
@@ -143,13 +143,13 @@
 	<-closed
 }
 
-func TestOversizedMessages(t *testing.T) {
+func TestOversizedMessagesReturnErrTooLarge(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, &Server{Carry: func(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
 		if request.AttemptId == "long answer" {
 			return &relaypb.CarryResponse{Body: make([]byte, maxFrameBytes+1)}
 		}
-		return answer(ctx, request)
+		return respond(ctx, request)
 	}})
 	pool := newPool()
 	_, err := pool.Carry(testContext(t), address, &relaypb.CarryRequest{Body: make([]byte, maxFrameBytes+1)})
@@ -161,20 +161,20 @@
 }
 
 // A node of another version may speak HTTP/2 only. Probing it must not deliver a call.
-func TestPeerWithoutLinkProtocol(t *testing.T) {
+func TestPeerWithoutLinkProtocolReturnsErrOtherProtocol(t *testing.T) {
 	is := is.New(t)
-	var asked atomic.Int32
-	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked.Add(1) }))
+	var requests atomic.Int32
+	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) }))
 	server.Config.Protocols = new(http.Protocols)
 	server.Config.Protocols.SetUnencryptedHTTP2(true)
 	server.Start()
 	t.Cleanup(server.Close)
 	_, err := newPool().Carry(testContext(t), server.Listener.Addr().String(), &relaypb.CarryRequest{})
 	is.True(errors.Is(err, ErrOtherProtocol))
-	is.Equal(asked.Load(), int32(0))
+	is.Equal(requests.Load(), int32(0))
 }
 
-func TestClosedPortIsNotAccepted(t *testing.T) {
+func TestClosedPortReturnsErrNotAccepted(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is := is.New(t)
 	is.NoErr(err)
@@ -187,7 +187,7 @@
 // A connection without calls is closed: pings must not keep it open.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	is := is.New(t)
-	address := serve(t, &Server{Carry: answer})
+	address := serve(t, &Server{Carry: respond})
 	pool := newPool()
 	_, err := pool.Carry(testContext(t), address, &relaypb.CarryRequest{})
 	is.NoErr(err)
@@ -201,12 +201,12 @@
 
 // HTTP/2 took more than half of the memory and processor time of a call between nodes,
 // which left none for the nodes next to a busy service.
-func TestCallOnALinkCostsAFractionOfHTTP2(t *testing.T) {
+func TestLinkCallAllocatesLessThanThirdOfHTTP2(t *testing.T) {
 	is := is.New(t)
-	address := serve(t, &Server{Carry: answer})
+	address := serve(t, &Server{Carry: respond})
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
-	byConnect := relaypbconnect.NewRelayClient(&http.Client{Transport: &http.Transport{Protocols: protocols}}, "http://"+address)
+	connectClient := relaypbconnect.NewRelayClient(&http.Client{Transport: &http.Transport{Protocols: protocols}}, "http://"+address)
 	pool := newPool()
 	request := &relaypb.CarryRequest{AttemptId: "a", Method: http.MethodGet, Path: "/rope/1", Body: make([]byte, 400)}
 	const calls = 300
@@ -215,7 +215,7 @@
 		is.NoErr(err)
 	})
 	onHTTP2 := testing.AllocsPerRun(calls, func() {
-		_, err := byConnect.Carry(context.Background(), connect.NewRequest(request))
+		_, err := connectClient.Carry(context.Background(), connect.NewRequest(request))
 		is.NoErr(err)
 	})
 	t.Logf("allocations of a call: %.0f on a link, %.0f by HTTP/2", onLink, onHTTP2)
@@ -235,10 +235,10 @@
 
 // Idle connections are not pinged: a node has a connection to each other node that it
 // calls now and then, and pings on all of them took a tenth of its processor time.
-func TestNothingIsSentWithoutACall(t *testing.T) {
+func TestIdleConnectionIsNotPinged(t *testing.T) {
 	is := is.New(t)
 	var sent atomic.Int64
-	address := serve(t, &Server{Carry: answer})
+	address := serve(t, &Server{Carry: respond})
 	pool := NewPool(func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 		return countingConn{conn, &sent}, err
@@ -253,11 +253,11 @@
 }
 
 // A slow call on a live connection must not be mistaken for a silent peer.
-func TestLongCallIsWaitedFor(t *testing.T) {
+func TestSlowCallKeepsConnectionOpen(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, &Server{Carry: func(ctx context.Context, request *relaypb.CarryRequest) *relaypb.CarryResponse {
 		time.Sleep(time.Second)
-		return answer(ctx, request)
+		return respond(ctx, request)
 	}})
 	pool := NewPool((&net.Dialer{}).DialContext, Keepalive{PingAfter: 50 * time.Millisecond, PingTimeout: 100 * time.Millisecond, IdleTimeout: time.Second})
 	_, err := pool.Carry(testContext(t), address, &relaypb.CarryRequest{})
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -165,7 +165,7 @@
 			p.conn.fail(err)
 			return
 		}
-		if ctx, taken := p.begin(got.call); taken {
+		if ctx, accepted := p.begin(got.call); accepted {
 			gopool.Go(func() { p.carry(ctx, got.call, request) })
 		}
 	case cancelFrame:
@@ -200,13 +200,13 @@
 }
 
 func (p *peer) carry(ctx context.Context, number uint32, request *relaypb.CarryRequest) {
-	answer := p.server.Carry(ctx, request)
+	response := p.server.Carry(ctx, request)
 	defer p.end(number)
-	if answer == nil {
-		_ = p.conn.send(noAnswerFrame, number, nil)
+	if response == nil {
+		_ = p.conn.send(noResponseFrame, number, nil)
 		return
 	}
-	if errors.Is(p.conn.send(answerFrame, number, answer), ErrTooLarge) {
+	if errors.Is(p.conn.send(responseFrame, number, response), ErrTooLarge) {
 		_ = p.conn.send(tooLargeFrame, number, nil)
 	}
 }
