--- a/internal/httpc/client.go
+++ b/internal/httpc/client.go
@@ -98,12 +98,12 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	used, err := c.connect(ctx, call.request.ID)
+	acquired, err := c.connect(ctx, call.request.ID)
 	if err != nil {
 		<-c.slots
 		return err
 	}
-	call.conn = used
+	call.conn = acquired
 	return nil
 }
 
@@ -111,14 +111,14 @@
 // new one.
 func (c *Client) connect(ctx context.Context, id string) (*conn, error) {
 	for {
-		used := c.takeIdle(id)
-		if used == nil {
+		idleConn := c.takeIdle(id)
+		if idleConn == nil {
 			break
 		}
-		if used.stillIdle() {
-			return used, nil
+		if idleConn.stillIdle() {
+			return idleConn, nil
 		}
-		used.close()
+		idleConn.close()
 	}
 	c.evictIdle()
 	raw, err := c.Dial(ctx, "tcp", c.Address)
@@ -128,8 +128,9 @@
 	return newConn(raw, c.IdleTimeout), nil
 }
 
-// takeIdle removes and returns an idle connection on which the request was not refused
-// before: a faulty server may send an earlier refusal again.
+// takeIdle removes and returns the most recently used idle connection on which the request
+// was not refused before, nil if there is none: a faulty server may send an earlier
+// refusal again.
 func (c *Client) takeIdle(id string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,17 +158,17 @@
 }
 
 // putIdle keeps a connection for further calls.
-func (c *Client) putIdle(used *conn) {
+func (c *Client) putIdle(idleConn *conn) {
 	now := time.Now()
-	used.idleUntil = now.Add(used.idleFor)
-	used.release()
+	idleConn.idleUntil = now.Add(idleConn.idleFor)
+	idleConn.release()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		used.close()
+		idleConn.close()
 		return
 	}
-	c.idle = append(c.idle, used)
+	c.idle = append(c.idle, idleConn)
 	if c.sweepTimer == nil {
 		c.sweepTimer = time.AfterFunc(c.IdleTimeout, c.closeExpired)
 	}
@@ -233,12 +234,12 @@
 }
 
 func (c *Call) readHead() error {
-	answer, err := c.conn.readResponse()
+	response, err := c.conn.readResponse()
 	if err != nil {
 		return err
 	}
-	c.Response = answer
-	c.body, err = c.conn.newBody(c.request.Method, answer)
+	c.Response = response
+	c.body, err = c.conn.newBody(c.request.Method, response)
 	return err
 }
 
@@ -259,10 +260,10 @@
 	return c.Response.Length
 }
 
-// RecordRefusal records that the server refused the request without running it, and whether the
-// response names the request. A faulty server may send the same refusal again, so the
-// connection does not carry this request again, and no request at all after a refusal
-// that does not name its request.
+// RecordRefusal records that the server refused the request without running it. Named says
+// whether the response contains the ID of the request. A faulty server may send the same
+// refusal again, so the connection does not carry this request again, and no request at
+// all after a refusal that does not name its request.
 func (c *Call) RecordRefusal(named bool) {
 	if !named || c.request.ID == "" {
 		c.noReuse = true
--- a/internal/httpc/client_test.go
+++ b/internal/httpc/client_test.go
@@ -60,9 +60,9 @@
 	return client
 }
 
-// answers returns a script that reads requests and writes the same response to each of
+// respondWith returns a script that reads requests and writes the same response to each of
 // them.
-func answers(text string) func(s *server, conn net.Conn, reader *bufio.Reader) {
+func respondWith(text string) func(s *server, conn net.Conn, reader *bufio.Reader) {
 	return func(_ *server, conn net.Conn, reader *bufio.Reader) {
 		for {
 			request, err := http.ReadRequest(reader)
@@ -77,14 +77,14 @@
 	}
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 func get() *httpc.Request {
 	return &httpc.Request{Method: "GET", Target: "/", Host: "h", ID: "r"}
 }
 
-// take makes one call and returns its body.
-func take(client *httpc.Client, request *httpc.Request) (string, error) {
+// fetch makes one call and returns the body of its response.
+func fetch(client *httpc.Client, request *httpc.Request) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	call := client.Do(ctx, request)
@@ -96,13 +96,13 @@
 	return string(body), err
 }
 
-// TestAnswers sends the responses of testdata/answers and checks how each is read and
+// TestResponses sends the responses of testdata/answers and checks how each is read and
 // whether the connection is reused for the next call.
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	datadriven.RunTest(t, "testdata/answers", func(t *testing.T, d *datadriven.TestData) string {
 		text := strings.ReplaceAll(strings.ReplaceAll(d.Input, "\n", ""), `\n`, "\r\n")
 		text = strings.ReplaceAll(text, `\l`, "\n")
-		serving := answers(text)
+		respond := respondWith(text)
 		s := serve(t, func(s *server, conn net.Conn, reader *bufio.Reader) {
 			if d.HasArg("close") {
 				if _, err := http.ReadRequest(reader); err == nil {
@@ -110,7 +110,7 @@
 				}
 				return
 			}
-			serving(s, conn, reader)
+			respond(s, conn, reader)
 		})
 		client := s.client(t, 4)
 		request := get()
@@ -130,31 +130,31 @@
 		if err != nil {
 			return fmt.Sprintf("status=%d body=%q error: %s\n", status, body, err)
 		}
-		_, _ = take(client, request)
+		_, _ = fetch(client, request)
 		return fmt.Sprintf("status=%d fields=%d body=%q kept=%t\n", status, len(fields), body, s.opened.Load() == 1)
 	})
 }
 
 // A request is written in one piece and its fields are unchanged.
-func TestRequestOnTheWire(t *testing.T) {
+func TestRequestWireFormat(t *testing.T) {
 	is := is.New(t)
 	got := make(chan string, 1)
 	s := serve(t, func(_ *server, conn net.Conn, reader *bufio.Reader) {
 		text := make([]byte, 1024)
 		n, _ := reader.Read(text)
 		got <- string(text[:n])
-		_, _ = io.WriteString(conn, ok)
+		_, _ = io.WriteString(conn, okResponse)
 	})
-	_, err := take(s.client(t, 1), &httpc.Request{Method: "POST", Target: "/a%2Fb?c", Host: "shop", Fields: httpc.Fields{{Name: "x-y", Value: "z"}}, Body: []byte("rope")})
+	_, err := fetch(s.client(t, 1), &httpc.Request{Method: "POST", Target: "/a%2Fb?c", Host: "shop", Fields: httpc.Fields{{Name: "x-y", Value: "z"}}, Body: []byte("rope")})
 	is.NoErr(err)
 	is.Equal(<-got, "POST /a%2Fb?c HTTP/1.1\r\nHost: shop\r\nx-y: z\r\nContent-Length: 4\r\n\r\nrope")
 }
 
-// A line break within a field or the start line would let the server see a second
-// request, so such a request must not be sent.
-func TestRequestThatWouldBreakItsLinesIsNotSent(t *testing.T) {
+// A line break within a field or the start line would let the server see a second request.
+// A request with such bytes, or without a target, must not be sent.
+func TestUnsendableRequestIsNotSent(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, answers(ok))
+	s := serve(t, respondWith(okResponse))
 	client := s.client(t, 1)
 	for _, bad := range []*httpc.Request{
 		{Method: "GET /x", Target: "/", Host: "h"},
@@ -174,36 +174,36 @@
 
 // An idle connection must not be reused if the server has closed it or has sent bytes
 // without a request.
-func TestIdleConnectionIsLookedAtBeforeUse(t *testing.T) {
-	for name, ending := range map[string]string{"closed": "", "extra bytes": ok} {
+func TestStaleIdleConnectionIsNotReused(t *testing.T) {
+	for name, extra := range map[string]string{"closed": "", "extra bytes": okResponse} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			over := make(chan struct{}, 1)
+			ended := make(chan struct{}, 1)
 			s := serve(t, func(s *server, conn net.Conn, reader *bufio.Reader) {
 				first := s.opened.Load() == 1
 				for {
 					if _, err := http.ReadRequest(reader); err != nil {
 						return
 					}
-					_, _ = io.WriteString(conn, ok)
+					_, _ = io.WriteString(conn, okResponse)
 					if !first {
 						continue
 					}
 					time.Sleep(20 * time.Millisecond) // the client has read the response by then
-					_, _ = io.WriteString(conn, ending)
-					if ending == "" {
+					_, _ = io.WriteString(conn, extra)
+					if extra == "" {
 						_ = conn.Close()
 					}
-					over <- struct{}{}
+					ended <- struct{}{}
 				}
 			})
 			client := s.client(t, 4)
 			for range 2 {
-				body, err := take(client, get())
+				body, err := fetch(client, get())
 				is.NoErr(err)
 				is.Equal(body, "ok")
 				if s.opened.Load() == 1 {
-					<-over
+					<-ended
 				}
 			}
 			is.Equal(s.opened.Load(), int32(2))
@@ -213,20 +213,20 @@
 
 // The timeout of the server's Keep-Alive field limits how long an idle connection is
 // used. A connection that is about to time out is not used.
-func TestKeepAliveOfTheServerIsHeeded(t *testing.T) {
+func TestServerKeepAliveTimeoutLimitsReuse(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, answers("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1, max=9\r\nContent-Length: 0\r\n\r\n"))
+	s := serve(t, respondWith("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1, max=9\r\nContent-Length: 0\r\n\r\n"))
 	client := s.client(t, 4)
 	for range 2 {
-		_, err := take(client, get())
+		_, err := fetch(client, get())
 		is.NoErr(err)
 	}
 	is.Equal(s.opened.Load(), int32(2))
 }
 
-// A server may respond before it has read a long body and read the rest later. The
-// connection must not carry another request then.
-func TestAnswerBeforeALongBodyIsRead(t *testing.T) {
+// A server may respond before it has read a long request body, and read the rest later.
+// The connection must not carry another request then.
+func TestResponseBeforeRequestIsReadPreventsReuse(t *testing.T) {
 	is := is.New(t)
 	rest := make(chan int64, 1)
 	answered := make(chan struct{})
@@ -235,7 +235,7 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, ok)
+		_, _ = io.WriteString(conn, okResponse)
 		if s.opened.Load() > 1 {
 			return
 		}
@@ -245,10 +245,10 @@
 	})
 	client := s.client(t, 4)
 	long := &httpc.Request{Method: "POST", Target: "/", Host: "h", Body: make([]byte, 32<<20)}
-	body, err := take(client, long)
+	body, err := fetch(client, long)
 	is.NoErr(err)
 	is.Equal(body, "ok")
-	body, err = take(client, get()) // needs a second connection
+	body, err = fetch(client, get()) // needs a second connection
 	is.NoErr(err)
 	is.Equal(body, "ok")
 	is.Equal(s.opened.Load(), int32(2))
@@ -257,7 +257,7 @@
 }
 
 // A cancelled call closes its connection at once and has no response.
-func TestCancelledCallEndsItsConnection(t *testing.T) {
+func TestCancelledCallClosesConnection(t *testing.T) {
 	is := is.New(t)
 	began := make(chan struct{})
 	s := serve(t, func(_ *server, conn net.Conn, reader *bufio.Reader) {
@@ -281,9 +281,9 @@
 }
 
 // The number of open connections stays within the limit under concurrent calls.
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionLimitIsEnforced(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, answers(ok))
+	s := serve(t, respondWith(okResponse))
 	client := s.client(t, 3)
 	errs := make(chan error)
 	const calls = 60
@@ -291,7 +291,7 @@
 		go func() {
 			request := get()
 			request.ID = fmt.Sprint(i)
-			_, err := take(client, request)
+			_, err := fetch(client, request)
 			errs <- err
 		}()
 	}
@@ -302,9 +302,9 @@
 }
 
 // A call that cannot connect reports that nothing was sent.
-func TestNothingIsSentWithoutAConnection(t *testing.T) {
+func TestDialFailureReportsNothingSent(t *testing.T) {
 	is := is.New(t)
-	s := serve(t, answers(ok))
+	s := serve(t, respondWith(okResponse))
 	_ = s.listener.Close()
 	call := s.client(t, 1).Do(context.Background(), get())
 	call.Close()
@@ -314,7 +314,7 @@
 
 // Calls do not wait for each other while no limit on the target's connections is
 // declared.
-func TestNoBoundOnConnections(t *testing.T) {
+func TestZeroConnectionsMeansNoLimit(t *testing.T) {
 	is := is.New(t)
 	var begun sync.WaitGroup
 	begun.Add(3)
@@ -322,14 +322,14 @@
 		if _, err := http.ReadRequest(reader); err == nil {
 			begun.Done()
 			begun.Wait()
-			_, _ = io.WriteString(conn, ok)
+			_, _ = io.WriteString(conn, okResponse)
 		}
 	})
 	client := s.client(t, 0)
 	errs := make(chan error)
 	for range 3 {
 		go func() {
-			_, err := take(client, get())
+			_, err := fetch(client, get())
 			errs <- err
 		}()
 	}
--- a/internal/httpc/conn.go
+++ b/internal/httpc/conn.go
@@ -27,7 +27,9 @@
 		// reader is nil while the connection is idle.
 		reader *bufio.Reader
 		// refused are the IDs of the requests that were refused on this connection.
-		refused   []string
+		refused []string
+		// idleFor is how long the connection may stay idle after a call; 0 prevents its
+		// reuse. idleUntil is when the current idle time ends.
 		idleFor   time.Duration
 		idleUntil time.Time
 	}
@@ -97,7 +99,8 @@
 	return err == nil && c.wouldBlock
 }
 
-// probe tries to read one byte without blocking.
+// probe tries to read one byte without blocking. It sets wouldBlock if the connection is
+// open and has no byte to read.
 func (c *conn) probe(descriptor uintptr) bool {
 	var one [1]byte
 	_, err := syscall.Read(int(descriptor), one[:])
@@ -107,11 +110,11 @@
 
 // reusable reports whether another request may be sent after a response that was read to
 // its end.
-func (c *conn) reusable(answer Response) bool {
+func (c *conn) reusable(response Response) bool {
 	if c.reader.Buffered() > 0 || len(c.refused) > maxRefused {
 		return false
 	}
-	for _, field := range answer.Fields {
+	for _, field := range response.Fields {
 		switch {
 		case strings.EqualFold(field.Name, "Connection"):
 			if containsToken(field.Value, "close") {
@@ -159,14 +162,14 @@
 		if err != nil {
 			return Response{}, err
 		}
-		answer, err := parseHead(head)
+		response, err := parseHead(head)
 		if err != nil {
 			return Response{}, err
 		}
-		if answer.Status >= 200 {
-			return answer, nil
+		if response.Status >= 200 {
+			return response, nil
 		}
-		if answer.Status == 101 {
+		if response.Status == 101 {
 			return Response{}, ErrMalformed // the request has no Upgrade field
 		}
 	}
@@ -228,21 +231,21 @@
 
 // newBody returns the reader of the response's body, which determines where the body
 // ends.
-func (c *conn) newBody(method string, answer Response) (body, error) {
+func (c *conn) newBody(method string, response Response) (body, error) {
 	b := body{conn: c}
 	switch {
-	case method == "HEAD", answer.Status == 204, answer.Status == 304:
+	case method == "HEAD", response.Status == 204, response.Status == 304:
 		b.ended = true
 		return b, nil
-	case answer.Fields.Has("Transfer-Encoding"):
-		if answer.Length >= 0 || !onlyChunked(answer.Fields) {
+	case response.Fields.Has("Transfer-Encoding"):
+		if response.Length >= 0 || !onlyChunked(response.Fields) {
 			return b, ErrMalformed
 		}
 		b.chunked = true
 		b.firstChunk = true
 		return b, nil
-	case answer.Length >= 0:
-		b.remaining = answer.Length
+	case response.Length >= 0:
+		b.remaining = response.Length
 		b.ended = b.remaining == 0
 		return b, nil
 	}
--- a/internal/httpc/fuzz_test.go
+++ b/internal/httpc/fuzz_test.go
@@ -24,8 +24,8 @@
 			return
 		}
 		head := text[:end+3]
-		answer, err := parseHead(head)
-		if err != nil || answer.Fields.Has("Transfer-Encoding") || answer.Status < 200 {
+		parsed, err := parseHead(head)
+		if err != nil || parsed.Fields.Has("Transfer-Encoding") || parsed.Status < 200 {
 			return
 		}
 		response, err := http.ReadResponse(bufio.NewReader(strings.NewReader(head)), nil)
@@ -33,11 +33,11 @@
 			t.Fatalf("%q was accepted, but net/http rejects it: %v", head, err)
 		}
 		defer func() { _ = response.Body.Close() }()
-		if response.StatusCode != answer.Status {
-			t.Fatalf("%q: status %d, not %d", head, answer.Status, response.StatusCode)
+		if response.StatusCode != parsed.Status {
+			t.Fatalf("%q: status %d, not %d", head, parsed.Status, response.StatusCode)
 		}
-		if len(answer.Fields) > 0 && answer.Length >= 0 && response.ContentLength != answer.Length && answer.Status != 204 && answer.Status != 304 {
-			t.Fatalf("%q: length %d, not %d", head, answer.Length, response.ContentLength)
+		if len(parsed.Fields) > 0 && parsed.Length >= 0 && response.ContentLength != parsed.Length && parsed.Status != 204 && parsed.Status != 304 {
+			t.Fatalf("%q: length %d, not %d", head, parsed.Length, response.ContentLength)
 		}
 	})
 }
--- a/internal/httpc/parse.go
+++ b/internal/httpc/parse.go
@@ -9,27 +9,27 @@
 // of the head.
 func parseHead(head string) (Response, error) {
 	line, rest := cutLine(head)
-	answer := Response{Length: -1}
+	response := Response{Length: -1}
 	var err error
-	if answer.Status, err = parseStatus(line); err != nil {
-		return answer, err
+	if response.Status, err = parseStatus(line); err != nil {
+		return response, err
 	}
-	answer.Fields = make(Fields, 0, strings.Count(rest, "\n"))
+	response.Fields = make(Fields, 0, strings.Count(rest, "\n"))
 	for {
 		line, rest = cutLine(rest)
 		if line == "" {
-			return answer, nil
+			return response, nil
 		}
 		field, err := parseField(line)
 		if err != nil {
-			return answer, err
+			return response, err
 		}
 		if strings.EqualFold(field.Name, "Content-Length") {
-			if err := answer.setLength(field.Value); err != nil {
-				return answer, err
+			if err := response.setLength(field.Value); err != nil {
+				return response, err
 			}
 		}
-		answer.Fields = append(answer.Fields, field)
+		response.Fields = append(response.Fields, field)
 	}
 }
 
@@ -60,7 +60,7 @@
 		return Field{}, ErrMalformed
 	}
 	value = strings.Trim(value, " \t")
-	if !isValue(value) {
+	if !isFieldValue(value) {
 		return Field{}, ErrMalformed
 	}
 	return Field{Name: name, Value: value}, nil
@@ -86,11 +86,11 @@
 
 // setLength sets the announced length. Two lengths that differ are malformed, since they
 // leave open where the response ends.
-func (a *Response) setLength(text string) error {
+func (r *Response) setLength(text string) error {
 	length, err := strconv.ParseUint(text, 10, 63)
-	if err != nil || a.Length >= 0 && a.Length != int64(length) {
+	if err != nil || r.Length >= 0 && r.Length != int64(length) {
 		return ErrMalformed
 	}
-	a.Length = int64(length)
+	r.Length = int64(length)
 	return nil
 }
--- a/internal/httpc/write.go
+++ b/internal/httpc/write.go
@@ -61,13 +61,14 @@
 		return false
 	}
 	for i := range r.Fields {
-		if !isToken(r.Fields[i].Name) || !isValue(r.Fields[i].Value) {
+		if !isToken(r.Fields[i].Name) || !isFieldValue(r.Fields[i].Value) {
 			return false
 		}
 	}
 	return true
 }
 
+// isVisible reports whether text has no space and no control character.
 func isVisible(text string) bool {
 	for i := range len(text) {
 		if text[i] <= ' ' || text[i] == 0x7f {
@@ -77,7 +78,8 @@
 	return true
 }
 
-func isValue(text string) bool {
+// isFieldValue reports whether text has no control character other than a tab.
+func isFieldValue(text string) bool {
 	for i := range len(text) {
 		if c := text[i]; c < ' ' && c != '\t' || c == 0x7f {
 			return false
