--- a/internal/httpd/conn.go
+++ b/internal/httpd/conn.go
@@ -35,7 +35,7 @@
 		broken  bool
 		// writeClosed is set once the last answer has been written.
 		writeClosed bool
-		// idleTimeout bounds the wait for the next request. It is 0 while a request is
+		// idleTimeout limits the wait for the next request. It is 0 while a request is
 		// being read.
 		idleTimeout time.Duration
 	}
@@ -52,11 +52,11 @@
 )
 
 const (
-	// maxPipelined bounds the unanswered requests of one connection.
+	// maxPipelined limits the unanswered requests of one connection.
 	maxPipelined = 32
 	// bodyTimeout is the least time that a caller is given to send a body.
 	bodyTimeout = 10 * time.Second
-	// writeTimeout bounds how long a caller may take to read one answer.
+	// writeTimeout limits how long a caller may take to read one answer.
 	writeTimeout = 10 * time.Second
 	// lingerTimeout is how long the connection is read after its last answer. Closing a
 	// connection with unread bytes would reset it, and the caller could lose that answer.
@@ -144,10 +144,10 @@
 	for len(c.pipeline) > 0 && c.pipeline[0].done {
 		first := c.pipeline[0]
 		c.mu.Unlock()
-		whole := !c.isBroken() && c.writeAnswer(first)
+		written := !c.isBroken() && c.writeAnswer(first)
 		c.mu.Lock()
 		c.pipeline = c.pipeline[1:]
-		if !whole {
+		if !written {
 			c.breakLocked()
 		}
 		c.advanced.Broadcast()
@@ -167,8 +167,8 @@
 	return c.broken
 }
 
-// breakLocked marks the connection as broken, as no further answer can be written, and
-// ends its requests and reads. c.mu must be held.
+// breakLocked marks the connection as broken because no further answer can be written,
+// cancels its requests and ends the current read. c.mu must be held.
 func (c *conn) breakLocked() {
 	c.broken = true
 	c.cancel()
@@ -189,27 +189,27 @@
 	if p.answer == nil {
 		return false
 	}
-	var head bytes.Buffer
-	head.Grow(headCapacity + len(p.answer.Body))
-	head.WriteString("HTTP/1.1 " + strconv.Itoa(p.answer.Status) + " " + http.StatusText(p.answer.Status) + "\r\n")
-	if err := p.answer.Header.WriteSubset(&head, connectionHeaders); err != nil {
+	var message bytes.Buffer
+	message.Grow(headCapacity + len(p.answer.Body))
+	message.WriteString("HTTP/1.1 " + strconv.Itoa(p.answer.Status) + " " + http.StatusText(p.answer.Status) + "\r\n")
+	if err := p.answer.Header.WriteSubset(&message, connectionHeaders); err != nil {
 		return false
 	}
 	body := p.answer.Body
 	if mayHaveBody(p.answer.Status) {
-		head.WriteString("Content-Length: " + strconv.Itoa(len(body)) + "\r\n")
+		message.WriteString("Content-Length: " + strconv.Itoa(len(body)) + "\r\n")
 	} else {
 		body = nil
 	}
 	if p.closeAfter {
-		head.WriteString("Connection: close\r\n")
+		message.WriteString("Connection: close\r\n")
 	}
-	head.WriteString("\r\n")
+	message.WriteString("\r\n")
 	if !p.headOnly {
-		head.Write(body)
+		message.Write(body)
 	}
 	_ = c.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if _, err := c.raw.Write(head.Bytes()); err != nil {
+	if _, err := c.raw.Write(message.Bytes()); err != nil {
 		return false
 	}
 	if p.closeAfter {
--- a/internal/httpd/httpd.go
+++ b/internal/httpd/httpd.go
@@ -45,7 +45,7 @@
 		Handle func(ctx context.Context, request *http.Request) *Answer
 		// Refuse returns the answer to a request that could not be read.
 		Refuse func(status int, reason string) *Answer
-		// Limits returns the bounds in force.
+		// Limits returns the limits in force.
 		Limits func() Limits
 		Log    hclog.Logger
 
@@ -66,7 +66,7 @@
 const shutdownPoll = 5 * time.Millisecond
 
 // ErrClosed is what Serve returns after Close.
-var ErrClosed = errors.New("ahead: server closed")
+var ErrClosed = errors.New("httpd: server closed")
 
 // Serve accepts connections until Close or a permanent error of the listener.
 func (s *Server) Serve(listener net.Listener) error {
@@ -108,8 +108,8 @@
 	s.noKeepAlive.Store(true)
 }
 
-// InFlight returns the number of requests in flight, including those whose answers are being
-// written.
+// InFlight returns the number of requests in flight, including those whose answers are
+// being written.
 func (s *Server) InFlight() int {
 	return int(s.inFlight.Load())
 }
--- a/internal/httpd/httpd_test.go
+++ b/internal/httpd/httpd_test.go
@@ -36,38 +36,38 @@
 }
 
 // startServer serves with a handler that echoes method, path and body.
-func startServer(t *testing.T, bounds httpd.Limits, held ...string) *testServer {
+func startServer(t *testing.T, limits httpd.Limits, held ...string) *testServer {
 	t.Helper()
-	p := &testServer{holds: map[string]chan struct{}{}, started: make(chan string, 100), cancelled: make(chan string, 100)}
+	s := &testServer{holds: map[string]chan struct{}{}, started: make(chan string, 100), cancelled: make(chan string, 100)}
 	for _, path := range held {
-		p.holds[path] = make(chan struct{}, 10)
+		s.holds[path] = make(chan struct{}, 10)
 	}
-	p.server = &httpd.Server{
-		Handle: p.handle,
+	s.server = &httpd.Server{
+		Handle: s.handle,
 		Refuse: func(status int, reason string) *httpd.Answer {
 			return &httpd.Answer{Status: status, Header: http.Header{}, Body: []byte(reason)}
 		},
-		Limits: func() httpd.Limits { return bounds },
+		Limits: func() httpd.Limits { return limits },
 		Log:    hclog.NewNullLogger(),
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.address = listener.Addr().String()
-	go func() { _ = p.server.Serve(listener) }()
-	t.Cleanup(p.server.Close)
-	return p
+	s.address = listener.Addr().String()
+	go func() { _ = s.server.Serve(listener) }()
+	t.Cleanup(s.server.Close)
+	return s
 }
 
-func (p *testServer) handle(ctx context.Context, request *http.Request) *httpd.Answer {
-	p.runs.Add(1)
-	p.started <- request.URL.Path
-	if hold := p.holds[request.URL.Path]; hold != nil {
+func (s *testServer) handle(ctx context.Context, request *http.Request) *httpd.Answer {
+	s.runs.Add(1)
+	s.started <- request.URL.Path
+	if hold := s.holds[request.URL.Path]; hold != nil {
 		select {
 		case <-hold:
 		case <-ctx.Done():
-			p.cancelled <- request.URL.Path + " cancelled"
+			s.cancelled <- request.URL.Path + " cancelled"
 			return nil
 		}
 	}
@@ -79,9 +79,9 @@
 	}
 }
 
-func (p *testServer) dial(t *testing.T) (net.Conn, *bufio.Reader) {
+func (s *testServer) dial(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	conn, err := net.Dial("tcp", p.address)
+	conn, err := net.Dial("tcp", s.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,21 +115,21 @@
 	return "GET " + path + " HTTP/1.1\r\nHost: shop.example\r\n\r\n"
 }
 
-var defaultBounds = httpd.Limits{HeaderBytes: 4 << 10, BodyBytes: 1 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: 5 * time.Second}
+var defaultLimits = httpd.Limits{HeaderBytes: 4 << 10, BodyBytes: 1 << 10, HeaderTimeout: 5 * time.Second, IdleTimeout: 5 * time.Second}
 
 // Safe requests run concurrently, and their answers are sent in the order of the
 // requests.
-func TestAnswersKeepTheOrderOfTheRequests(t *testing.T) {
+func TestPipelinedAnswersKeepRequestOrder(t *testing.T) {
 	is := is.New(t)
-	p := startServer(t, defaultBounds, "/slow")
-	conn, reader := p.dial(t)
+	s := startServer(t, defaultLimits, "/slow")
+	conn, reader := s.dial(t)
 	send(t, conn, get("/slow")+get("/fast?x=1")+get("/last"))
 	seen := map[string]bool{}
 	for range 3 {
-		seen[<-p.started] = true
+		seen[<-s.started] = true
 	}
 	is.Equal(len(seen), 3) // all have started while the first is blocked
-	p.holds["/slow"] <- struct{}{}
+	s.holds["/slow"] <- struct{}{}
 	for _, path := range []string{"/slow", "/fast?x=1", "/last"} {
 		response, body := readAnswer(t, reader)
 		is.Equal(body, "GET "+path+" ")
@@ -139,19 +139,19 @@
 }
 
 // A request that is not safe waits for the requests before it.
-func TestUnsafeRequestWaitsForItsTurn(t *testing.T) {
+func TestUnsafeRequestWaitsForEarlierRequests(t *testing.T) {
 	is := is.New(t)
-	p := startServer(t, defaultBounds, "/slow")
-	conn, reader := p.dial(t)
+	s := startServer(t, defaultLimits, "/slow")
+	conn, reader := s.dial(t)
 	send(t, conn, get("/slow")+"POST /order HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nrop\r\n1\r\ne\r\n0\r\n\r\n")
-	is.Equal(<-p.started, "/slow")
+	is.Equal(<-s.started, "/slow")
 	select {
-	case path := <-p.started:
+	case path := <-s.started:
 		t.Fatalf("%s began too early", path)
 	case <-time.After(50 * time.Millisecond):
 	}
-	p.holds["/slow"] <- struct{}{}
-	is.Equal(<-p.started, "/order")
+	s.holds["/slow"] <- struct{}{}
+	is.Equal(<-s.started, "/order")
 	_, first := readAnswer(t, reader)
 	_, second := readAnswer(t, reader)
 	is.Equal(first, "GET /slow ")
@@ -160,44 +160,44 @@
 
 // A caller that disconnects cancels all its requests, including those further back in the
 // pipeline.
-func TestCallerThatLeavesEndsItsWork(t *testing.T) {
+func TestDisconnectCancelsRequests(t *testing.T) {
 	is := is.New(t)
-	p := startServer(t, defaultBounds, "/one", "/two")
-	conn, _ := p.dial(t)
+	s := startServer(t, defaultLimits, "/one", "/two")
+	conn, _ := s.dial(t)
 	send(t, conn, get("/one")+get("/two"))
-	<-p.started
-	<-p.started
+	<-s.started
+	<-s.started
 	_ = conn.Close()
-	ended := map[string]bool{<-p.cancelled: true, <-p.cancelled: true}
+	ended := map[string]bool{<-s.cancelled: true, <-s.cancelled: true}
 	is.True(ended["/one cancelled"] && ended["/two cancelled"])
 }
 
-// After Leave, the next request is the last of its connection, and requests sent after it
-// are not run.
-func TestLeaveClosesConnectionAfterTheNextAnswer(t *testing.T) {
+// After DisableKeepAlives, the next request is the last of its connection, and requests
+// sent after it are not run.
+func TestDisableKeepAlivesClosesConnectionAfterNextAnswer(t *testing.T) {
 	is := is.New(t)
-	p := startServer(t, defaultBounds, "/slow")
-	conn, reader := p.dial(t)
+	s := startServer(t, defaultLimits, "/slow")
+	conn, reader := s.dial(t)
 	send(t, conn, get("/before"))
 	response, _ := readAnswer(t, reader)
 	is.True(!response.Close)
-	p.server.DisableKeepAlives()
+	s.server.DisableKeepAlives()
 	send(t, conn, get("/slow")+get("/behind"))
-	p.holds["/slow"] <- struct{}{}
+	s.holds["/slow"] <- struct{}{}
 	response, body := readAnswer(t, reader)
 	is.True(response.Close)
 	is.Equal(body, "GET /slow ")
 	_, err := reader.ReadByte()
 	is.Equal(err, io.EOF)
-	is.Equal(p.runs.Load(), int64(2))
-	for p.server.InFlight() > 0 {
+	is.Equal(s.runs.Load(), int64(2))
+	for s.server.InFlight() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	is.True(!p.server.LastRequest().IsZero())
+	is.True(!s.server.LastRequest().IsZero())
 }
 
-func TestRequestsOutsideTheBoundsAreRefused(t *testing.T) {
-	for _, one := range []struct {
+func TestInvalidRequestsAreRefused(t *testing.T) {
+	for _, test := range []struct {
 		name, request string
 		status        int
 	}{
@@ -206,25 +206,25 @@
 		{"chunks too long", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n7d0\r\n" + strings.Repeat("x", 2000) + "\r\n0\r\n\r\n", 413},
 		{"no request", "rope\r\n\r\n", 400},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			p := startServer(t, defaultBounds)
-			conn, reader := p.dial(t)
-			send(t, conn, one.request)
+			s := startServer(t, defaultLimits)
+			conn, reader := s.dial(t)
+			send(t, conn, test.request)
 			response, _ := readAnswer(t, reader)
-			is.Equal(response.StatusCode, one.status)
+			is.Equal(response.StatusCode, test.status)
 			is.True(response.Close)
-			is.Equal(p.runs.Load(), int64(0))
+			is.Equal(s.runs.Load(), int64(0))
 		})
 	}
 }
 
 func TestSlowHeaderTimesOut(t *testing.T) {
 	is := is.New(t)
-	narrow := defaultBounds
-	narrow.HeaderTimeout = 50 * time.Millisecond
-	p := startServer(t, narrow)
-	conn, reader := p.dial(t)
+	limits := defaultLimits
+	limits.HeaderTimeout = 50 * time.Millisecond
+	s := startServer(t, limits)
+	conn, reader := s.dial(t)
 	send(t, conn, "GET / HTTP/1.1\r\nHo")
 	response, _ := readAnswer(t, reader)
 	is.Equal(response.StatusCode, http.StatusRequestTimeout)
@@ -233,24 +233,24 @@
 // The idle timeout starts with the last answer and does not run during a request.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	is := is.New(t)
-	narrow := defaultBounds
-	narrow.IdleTimeout = 100 * time.Millisecond
-	p := startServer(t, narrow, "/slow")
-	conn, reader := p.dial(t)
+	limits := defaultLimits
+	limits.IdleTimeout = 100 * time.Millisecond
+	s := startServer(t, limits, "/slow")
+	conn, reader := s.dial(t)
 	send(t, conn, get("/slow"))
-	<-p.started
-	time.Sleep(3 * narrow.IdleTimeout)
-	p.holds["/slow"] <- struct{}{}
+	<-s.started
+	time.Sleep(3 * limits.IdleTimeout)
+	s.holds["/slow"] <- struct{}{}
 	_, body := readAnswer(t, reader)
 	is.Equal(body, "GET /slow ")
 	_, err := reader.ReadByte()
 	is.Equal(err, io.EOF)
 }
 
-func TestBodyIsAskedForWhenTheCallerHoldsItBack(t *testing.T) {
+func TestExpectContinueIsAnswered(t *testing.T) {
 	is := is.New(t)
-	p := startServer(t, defaultBounds)
-	conn, reader := p.dial(t)
+	s := startServer(t, defaultLimits)
+	conn, reader := s.dial(t)
 	send(t, conn, "POST /order HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n")
 	line, err := reader.ReadString('\n')
 	is.NoErr(err)
--- a/internal/httpd/read.go
+++ b/internal/httpd/read.go
@@ -31,38 +31,38 @@
 // unlimited disables the limit on the bytes read.
 const unlimited = int64(1) << 62
 
-func (m *limitedReader) Read(p []byte) (int, error) {
-	if m.remaining <= 0 {
-		m.exceeded = true
+func (r *limitedReader) Read(p []byte) (int, error) {
+	if r.remaining <= 0 {
+		r.exceeded = true
 		return 0, io.EOF
 	}
-	if int64(len(p)) > m.remaining {
-		p = p[:m.remaining]
+	if int64(len(p)) > r.remaining {
+		p = p[:r.remaining]
 	}
-	n, err := m.raw.Read(p)
-	m.remaining -= int64(n)
-	m.readErr = err
+	n, err := r.raw.Read(p)
+	r.remaining -= int64(n)
+	r.readErr = err
 	return n, err
 }
 
 // readRequest reads the next request including its body. It returns neither a request nor
 // a refusal if the caller closed the connection or the idle timeout passed.
 func (c *conn) readRequest() (*http.Request, *refusal) {
-	bounds := c.server.Limits()
+	limits := c.server.Limits()
 	c.input.remaining = unlimited
-	c.limitIdle(bounds.IdleTimeout)
+	c.limitIdle(limits.IdleTimeout)
 	if _, err := c.reader.Peek(1); err != nil {
 		return nil, nil
 	}
-	c.limitRead(bounds.HeaderTimeout)
-	c.input.remaining = bounds.HeaderBytes
+	c.limitRead(limits.HeaderTimeout)
+	c.input.remaining = limits.HeaderBytes
 	request, err := http.ReadRequest(c.reader)
 	if err != nil {
 		return nil, c.headerRefusal(err)
 	}
 	c.input.remaining = unlimited
 	request.RemoteAddr = c.raw.RemoteAddr().String()
-	if refused := c.readBody(request, bounds); refused != nil {
+	if refused := c.readBody(request, limits); refused != nil {
 		return nil, refused
 	}
 	return request, nil
@@ -82,19 +82,19 @@
 
 // readBody reads the whole body into memory, so that the request can be forwarded with a
 // known length.
-func (c *conn) readBody(request *http.Request, bounds Limits) *refusal {
+func (c *conn) readBody(request *http.Request, limits Limits) *refusal {
 	if request.ContentLength == 0 {
 		request.Body = http.NoBody
 		return nil
 	}
-	if request.ContentLength > bounds.BodyBytes {
+	if request.ContentLength > limits.BodyBytes {
 		return &refusal{http.StatusRequestEntityTooLarge, "the body is longer than max_request_bytes"}
 	}
-	c.limitRead(max(bounds.HeaderTimeout, bodyTimeout))
+	c.limitRead(max(limits.HeaderTimeout, bodyTimeout))
 	if strings.EqualFold(request.Header.Get("Expect"), "100-continue") {
 		c.sendContinue()
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(nil, request.Body, bounds.BodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(nil, request.Body, limits.BodyBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// limitIdle bounds the wait for the next request. While a request is in flight there is
-// no bound: the connection stays open and is read, to notice a caller that disconnects.
+// limitIdle limits the wait for the next request. While a request is in flight there is no
+// limit: the connection stays open and is read, to notice a caller that disconnects.
 func (c *conn) limitIdle(idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +125,7 @@
 	_ = c.raw.SetReadDeadline(time.Now().Add(idle))
 }
 
-// limitRead bounds the reading of a request that has begun to arrive.
+// limitRead limits the time to read a request that has begun to arrive.
 func (c *conn) limitRead(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
