--- a/internal/dial/dial_test.go
+++ b/internal/dial/dial_test.go
@@ -11,7 +11,9 @@
 	"github.com/dandelionfield/dandelionfield/internal/dial"
 )
 
-func TestConnectionsAreProbedAndTheirBytesBounded(t *testing.T) {
+// Checks the socket options that make the kernel probe a silent connection, and limit how
+// long sent bytes may stay unacknowledged.
+func TestDialerSetsKeepaliveAndUserTimeout(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/gopool/gopool.go
+++ b/internal/gopool/gopool.go
@@ -1,5 +1,5 @@
-// Package gopool runs short functions on reused goroutines. The stack of a new goroutine is
-// grown, and thereby copied, whenever a call goes deep; a reused goroutine keeps its
+// Package gopool runs short functions on reused goroutines. The stack of a new goroutine
+// is grown, and thereby copied, whenever a call goes deep; a reused goroutine keeps its
 // grown stack.
 package gopool
 
@@ -33,22 +33,22 @@
 
 // Go runs a function on an idle goroutine, or on a new one if there is none. It never
 // blocks.
-func (c *Pool) Go(work func()) {
+func (p *Pool) Go(work func()) {
 	select {
-	case c.work <- work:
+	case p.work <- work:
 	default:
-		go c.run(work)
+		go p.run(work)
 	}
 }
 
-func (c *Pool) run(work func()) {
+func (p *Pool) run(work func()) {
 	for {
 		work()
-		if c.idle.Add(1) > c.MaxIdle {
-			c.idle.Add(-1)
+		if p.idle.Add(1) > p.MaxIdle {
+			p.idle.Add(-1)
 			return
 		}
-		work = <-c.work
-		c.idle.Add(-1)
+		work = <-p.work
+		p.idle.Add(-1)
 	}
 }
--- a/internal/gopool/gopool_test.go
+++ b/internal/gopool/gopool_test.go
@@ -12,8 +12,8 @@
 )
 
 // A function never waits for another one, however many there are.
-func TestAllWorkRunsAtOnce(t *testing.T) {
-	c := gopool.New(4)
+func TestFunctionsRunConcurrently(t *testing.T) {
+	pool := gopool.New(4)
 	const count = 100
 	var begun, ended sync.WaitGroup
 	release := make(chan struct{})
@@ -21,7 +21,7 @@
 		begun.Add(count)
 		ended.Add(count)
 		for range count {
-			c.Go(func() {
+			pool.Go(func() {
 				begun.Done()
 				<-release
 				ended.Done()
@@ -35,14 +35,14 @@
 }
 
 // The number of idle goroutines stays within MaxIdle.
-func TestIdleGoroutinesAreBounded(t *testing.T) {
+func TestIdleGoroutineLimitIsEnforced(t *testing.T) {
 	is := is.New(t)
 	before := runtime.NumGoroutine()
-	c := gopool.New(4)
+	pool := gopool.New(4)
 	var done sync.WaitGroup
 	for range 200 {
 		done.Add(1)
-		c.Go(done.Done)
+		pool.Go(done.Done)
 	}
 	done.Wait()
 	for end := time.Now().Add(5 * time.Second); runtime.NumGoroutine() > before+4; time.Sleep(time.Millisecond) {
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -19,15 +19,18 @@
 )
 
 type (
+	// peerServer is a node that answers every exchange with an empty response.
 	peerServer struct {
 		relaypbconnect.UnimplementedRelayHandler
 	}
 
+	// countingListener counts the bytes in both directions of its connections.
 	countingListener struct {
 		net.Listener
 		bytes *atomic.Int64
 	}
 
+	// countingConn is a connection of a countingListener.
 	countingConn struct {
 		net.Conn
 		bytes *atomic.Int64
@@ -78,36 +81,36 @@
 	}
 }
 
-// BenchmarkIdle measures the cost of open connections without traffic: processor time and
-// memory of both ends, and bytes in both directions.
-func BenchmarkIdle(b *testing.B) {
-	for _, open := range []int{20, 80, 320} {
-		b.Run(fmt.Sprintf("connections=%d", open), func(b *testing.B) {
-			var wire atomic.Int64
+// BenchmarkIdleConnections measures the cost of open connections without traffic:
+// processor time and memory of both ends, and bytes in both directions.
+func BenchmarkIdleConnections(b *testing.B) {
+	for _, connections := range []int{20, 80, 320} {
+		b.Run(fmt.Sprintf("connections=%d", connections), func(b *testing.B) {
+			var wireBytes atomic.Int64
 			_, handler := relaypbconnect.NewRelayHandler(peerServer{})
 			server := httptest.NewUnstartedServer(handler)
-			server.Listener = countingListener{server.Listener, &wire}
+			server.Listener = countingListener{server.Listener, &wireBytes}
 			server.Config.Protocols = relay.Protocols()
 			server.Config.HTTP2 = relay.HTTP2()
 			server.Start()
 			b.Cleanup(server.Close)
 			address := server.Listener.Addr().String()
-			bare := memoryBytes()
-			clients := make([]*relay.Client, open)
+			memoryBefore := memoryBytes()
+			clients := make([]*relay.Client, connections)
 			for i := range clients {
 				clients[i] = relay.NewClient()
 			}
 			exchangeWith(b, clients, address)
-			held := memoryBytes() - bare
-			started, before, used := time.Now(), wire.Load(), processorTime()
+			memoryUsed := memoryBytes() - memoryBefore
+			started, bytesBefore, cpuTime := time.Now(), wireBytes.Load(), processorTime()
 			for b.Loop() {
 				time.Sleep(time.Second)
 			}
-			used = processorTime() - used
-			connectionSeconds := time.Since(started).Seconds() * float64(open)
-			b.ReportMetric(float64(used.Microseconds())/connectionSeconds, "cpu-us/connection-s")
-			b.ReportMetric(float64(wire.Load()-before)/connectionSeconds, "bytes/connection-s")
-			b.ReportMetric(float64(held)/float64(open), "bytes/connection")
+			cpuTime = processorTime() - cpuTime
+			connectionSeconds := time.Since(started).Seconds() * float64(connections)
+			b.ReportMetric(float64(cpuTime.Microseconds())/connectionSeconds, "cpu-us/connection-s")
+			b.ReportMetric(float64(wireBytes.Load()-bytesBefore)/connectionSeconds, "bytes/connection-s")
+			b.ReportMetric(float64(memoryUsed)/float64(connections), "bytes/connection")
 			for _, client := range clients {
 				client.Drop(address)
 			}
@@ -115,24 +118,25 @@
 	}
 }
 
-// BenchmarkOpen measures an exchange that has to open a connection first.
-func BenchmarkOpen(b *testing.B) {
-	var wire atomic.Int64
+// BenchmarkExchangeOnNewConnection measures an exchange that has to open a connection
+// first.
+func BenchmarkExchangeOnNewConnection(b *testing.B) {
+	var wireBytes atomic.Int64
 	_, handler := relaypbconnect.NewRelayHandler(peerServer{})
 	server := httptest.NewUnstartedServer(handler)
-	server.Listener = countingListener{server.Listener, &wire}
+	server.Listener = countingListener{server.Listener, &wireBytes}
 	server.Config.Protocols = relay.Protocols()
 	server.Config.HTTP2 = relay.HTTP2()
 	server.Start()
 	b.Cleanup(server.Close)
 	address := server.Listener.Addr().String()
 	client := relay.NewClient()
-	used := processorTime()
+	cpuTime := processorTime()
 	for b.Loop() {
 		exchangeWith(b, []*relay.Client{client}, address)
 		client.Drop(address)
 	}
-	used = processorTime() - used
-	b.ReportMetric(float64(used.Microseconds())/float64(b.N), "cpu-us/exchange")
-	b.ReportMetric(float64(wire.Load())/float64(b.N), "bytes/exchange")
+	cpuTime = processorTime() - cpuTime
+	b.ReportMetric(float64(cpuTime.Microseconds())/float64(b.N), "cpu-us/exchange")
+	b.ReportMetric(float64(wireBytes.Load())/float64(b.N), "bytes/exchange")
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,14 +31,15 @@
 	links *link.Pool
 
 	mu sync.Mutex
-	// calls are connections with pings, so that a call on a silent connection ends in
-	// time. Control traffic has connections of its own without pings: a node talks to
-	// nearly all other nodes in turn, and with 530 nodes the pings alone would cost more
-	// than everything else.
+	// calls holds the peers whose connections are pinged, so that a call on a silent
+	// connection ends in time. control holds the peers for control traffic, whose
+	// connections are not pinged: a node talks to nearly all other nodes in turn, and with
+	// 530 nodes the pings alone would cost more than everything else.
 	calls   map[string]*peer
 	control map[string]*peer
 }
 
+// peer is the connect-go client for one node, with its transport.
 type peer struct {
 	transport *http.Transport
 	client    relaypbconnect.RelayClient
@@ -106,8 +107,8 @@
 	return dialer.DialContext(ctx, network, address)
 }
 
-// CallClient returns the connect-go client for calls through the node at an address. It does not
-// open a connection.
+// CallClient returns the connect-go client for calls through the node at an address. It
+// does not open a connection.
 func (c *Client) CallClient(address string) relaypbconnect.RelayClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,8 +120,8 @@
 	return p.client
 }
 
-// ControlClient returns the connect-go client for all other requests to the node at an address.
-// Its connections are not pinged; see Exchange.
+// ControlClient returns the connect-go client for all other requests to the node at an
+// address. Its connections are not pinged; Exchange drops one that may be silent.
 func (c *Client) ControlClient(address string) relaypbconnect.RelayClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
