--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -41,9 +41,9 @@
 		// Current returns the revision in force at this node; the number is 0 and the set
 		// may be nil when there is none yet.
 		Current func() (number int64, set *schema.Set, document []byte)
-		// History returns the revisions that are kept, the latest first. History, Former
-		// and Rollback return config.NotKept, config.Unreachable or config.Invalid when a
-		// former revision is not available.
+		// History returns the revisions that are kept, the latest first. History,
+		// LoadRevision and Rollback return config.NotKept, config.Unreachable or
+		// config.Invalid when an earlier revision is not available.
 		History func(ctx context.Context) ([]config.Entry, error)
 		// LoadRevision returns a kept revision.
 		LoadRevision func(ctx context.Context, number int64) (config.Revision, error)
@@ -112,7 +112,7 @@
 const (
 	// DefaultHeartbeat is the interval of heartbeat lines on an idle watch.
 	DefaultHeartbeat = 5 * time.Second
-	// maxDocumentBytes bounds the body of an apply request.
+	// maxDocumentBytes limits the body of an apply request.
 	maxDocumentBytes = 4 << 20
 )
 
@@ -172,10 +172,10 @@
 		ctx.Next()
 		return
 	}
-	shown, bearer := strings.CutPrefix(ctx.GetHeader("Authorization"), "Bearer ")
-	shownDigest := sha256.Sum256([]byte(shown))
+	presented, bearer := strings.CutPrefix(ctx.GetHeader("Authorization"), "Bearer ")
+	presentedDigest := sha256.Sum256([]byte(presented))
 	tokenDigest := sha256.Sum256([]byte(s.Token))
-	if !bearer || subtle.ConstantTimeCompare(shownDigest[:], tokenDigest[:]) != 1 {
+	if !bearer || subtle.ConstantTimeCompare(presentedDigest[:], tokenDigest[:]) != 1 {
 		s.Log.Warn("operator_refused", "remote", ctx.Request().RemoteAddr, "path", ctx.Path())
 		ctx.Header("WWW-Authenticate", "Bearer")
 		fail(ctx, http.StatusUnauthorized, Failure{Error: "the node's operator token is needed as Authorization: Bearer TOKEN"})
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -156,11 +156,11 @@
 		}
 		return 0, nil, ctx.Err()
 	}
-	web := httptest.NewServer(server.Handler())
-	defer web.Close()
+	httpServer := httptest.NewServer(server.Handler())
+	defer httpServer.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, web.URL+"/v1/watch?after=3", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, httpServer.URL+"/v1/watch?after=3", nil)
 	is.NoErr(err)
 	request.Header.Set("Authorization", "Bearer "+testToken)
 	response, err := http.DefaultClient.Do(request)
@@ -243,9 +243,9 @@
 // whether one target has stopped.
 func serviceWithTargets(targets ...bool) []Service {
 	service := Service{Name: "s"}
-	for _, has := range targets {
+	for _, stopped := range targets {
 		target := Target{Node: "n", State: StateReady}
-		if has {
+		if stopped {
 			target.StoppedMS = stopGrace.Milliseconds() + 1
 		}
 		service.Targets = append(service.Targets, target)
--- a/internal/admin/condition.go
+++ b/internal/admin/condition.go
@@ -130,17 +130,17 @@
 // checkServices adds the services that cannot serve calls: no target takes work, or all
 // targets have stopped.
 func (s *Status) checkServices(t *operatorTasks) {
-	var without, stopped []string
+	var withoutTarget, stopped []string
 	for _, service := range s.Services {
 		switch {
 		case !service.hasReadyTarget() && !s.hasStartingMember(service.Name):
-			without = append(without, service.Name)
+			withoutTarget = append(withoutTarget, service.Name)
 		case service.allTargetsStopped():
 			stopped = append(stopped, service.Name)
 		}
 	}
-	if len(without) > 0 {
-		t.add("no target of "+JoinNames(without)+" takes work", "start targets of "+JoinNames(without))
+	if len(withoutTarget) > 0 {
+		t.add("no target of "+JoinNames(withoutTarget)+" takes work", "start targets of "+JoinNames(withoutTarget))
 	}
 	if len(stopped) > 0 {
 		t.add("all targets of "+JoinNames(stopped)+" have stopped", "restart targets of "+JoinNames(stopped))
@@ -158,33 +158,33 @@
 }
 
 // keysOwned reports the idempotency keys without a live owner. After the loss of a host,
-// its share of the fresh keys of its service has no owner until its lease ends.
+// its share of its service's newly minted keys has no owner until its lease ends.
 func (s *Status) keysOwned() Condition {
-	var lacking []string
+	var unowned []string
 	for _, service := range s.Services {
 		if service.Unowned != nil {
-			lacking = append(lacking, service.Name+" "+service.Unowned.String())
+			unowned = append(unowned, service.Name+" "+service.Unowned.String())
 		}
 	}
-	if len(lacking) == 0 {
+	if len(unowned) == 0 {
 		return Condition{Type: KeysOwned, Holds: true, Message: "every fresh key has a living owner"}
 	}
-	return Condition{Type: KeysOwned, Message: "keys without a living owner: " + JoinNames(lacking)}
+	return Condition{Type: KeysOwned, Message: "keys without a living owner: " + JoinNames(unowned)}
 }
 
 func (s *Status) handedOver() Condition {
-	var waiting []string
+	var pending []string
 	for _, m := range s.Members {
 		if m.PendingHandovers > 0 {
-			waiting = append(waiting, m.Name)
+			pending = append(pending, m.Name)
 		}
 	}
-	if len(waiting) == 0 {
+	if len(pending) == 0 {
 		return Condition{Type: HandedOver, Holds: true, Message: "no handover waits for the plan"}
 	}
 	return Condition{
 		Type:    HandedOver,
-		Message: "handovers wait to be written into the plan at " + JoinNames(waiting) + "; that ends once the platform answers",
+		Message: "handovers wait to be written into the plan at " + JoinNames(pending) + "; that ends once the platform answers",
 	}
 }
 
--- a/internal/admin/fuzz_test.go
+++ b/internal/admin/fuzz_test.go
@@ -19,10 +19,10 @@
 const (
 	// fuzzRevision is the revision in force before each request.
 	fuzzRevision = 7
-	// fuzzAnswerBytes bounds an error answer: a thousandth of a node's memory of 64 MB,
+	// fuzzAnswerBytes limits an error answer: a thousandth of a node's memory of 64 MB,
 	// and of the size that the problems of a long document could otherwise reach.
 	fuzzAnswerBytes = 64 << 10
-	goodDocument    = "resource: service\nname: orders\nslots: 115\nconnections: 800\n"
+	validDocument   = "resource: service\nname: orders\nslots: 115\nconnections: 800\n"
 )
 
 var (
@@ -68,8 +68,8 @@
 	if !slices.Contains(fuzzStatuses, answer.Code) {
 		t.Fatalf("status %d: %s", answer.Code, answer.Body)
 	}
-	shown := request.Header.Get("Authorization") == "Bearer "+testToken
-	if !shown && strings.HasPrefix(request.URL.Path, "/v1/") && answer.Code < http.StatusBadRequest {
+	authorised := request.Header.Get("Authorization") == "Bearer "+testToken
+	if !authorised && strings.HasPrefix(request.URL.Path, "/v1/") && answer.Code < http.StatusBadRequest {
 		t.Fatalf("status %d without the token", answer.Code)
 	}
 	if answer.Code < http.StatusBadRequest || request.Method == http.MethodHead {
@@ -77,8 +77,8 @@
 	}
 	var failure Failure
 	// The part of the URL that an error quotes may grow sixfold when encoded as JSON.
-	repeated := 6 * (len(request.URL.Path) + len(request.URL.RawQuery))
-	if answer.Body.Len() > fuzzAnswerBytes+repeated {
+	quoted := 6 * (len(request.URL.Path) + len(request.URL.RawQuery))
+	if answer.Body.Len() > fuzzAnswerBytes+quoted {
 		t.Fatalf("%d bytes of errors", answer.Body.Len())
 	}
 	if err := json.Unmarshal(answer.Body.Bytes(), &failure); err != nil || failure.Error == "" {
@@ -112,12 +112,12 @@
 		t.Fatalf("revision %d, answered %d, want %d", node.number, applied.Revision, want)
 	}
 	document := node.set.Document()
-	again, err := schema.Parse("again", document)
+	reparsed, err := schema.Parse("again", document)
 	if err != nil {
 		t.Fatalf("what was accepted has errors: %v\n%s\nfrom\n%s", err, document, body)
 	}
-	if !bytes.Equal(again.Document(), document) {
-		t.Fatalf("what was accepted reads otherwise:\n%s\n%s", document, again.Document())
+	if !bytes.Equal(reparsed.Document(), document) {
+		t.Fatalf("what was accepted reads otherwise:\n%s\n%s", document, reparsed.Document())
 	}
 }
 
@@ -126,19 +126,19 @@
 func addRequests(f *testing.F) {
 	const get, post, remove = 0, 1, 2
 	bearer := "Bearer " + testToken
-	f.Add(uint8(post), "/v1/apply", "expected=7", bearer, goodDocument)
-	f.Add(uint8(post), "/v1/apply", "expected=7&dry_run=true", bearer, goodDocument)
-	f.Add(uint8(post), "/v1/apply", "", "", goodDocument)
-	f.Add(uint8(post), "/v1/apply", "expected=-1", bearer, goodDocument)
-	f.Add(uint8(post), "/v1/apply", "expected=99999999999999999999", bearer, goodDocument)
-	f.Add(uint8(post), "/v1/apply", "expected=6&expected=7", bearer, goodDocument)
-	f.Add(uint8(post), "/v1/apply", "dry_run=maybe;expected=7&%zz", bearer, goodDocument)
+	f.Add(uint8(post), "/v1/apply", "expected=7", bearer, validDocument)
+	f.Add(uint8(post), "/v1/apply", "expected=7&dry_run=true", bearer, validDocument)
+	f.Add(uint8(post), "/v1/apply", "", "", validDocument)
+	f.Add(uint8(post), "/v1/apply", "expected=-1", bearer, validDocument)
+	f.Add(uint8(post), "/v1/apply", "expected=99999999999999999999", bearer, validDocument)
+	f.Add(uint8(post), "/v1/apply", "expected=6&expected=7", bearer, validDocument)
+	f.Add(uint8(post), "/v1/apply", "dry_run=maybe;expected=7&%zz", bearer, validDocument)
 	for _, body := range []string{
 		"", "---\n---\n", "null", "[]", "resource: [", "resource: service\nresource: service\n", "\t", "\x00", "\xff\xfe",
 		"resource: limits\nkey_age: 99999999999999999999h\n", "resource: limits\nmax_answer_bytes: 1e999\n",
-		"resource: service\nname: *a\n", "a: &a [x]\nb: &b [*a, *a, *a]\nc: [*b, *b, *b]\n", strings.Repeat("[", 10_000), goodDocument + "? " + strings.Repeat("x", fuzzAnswerBytes) + "\n: 1\n",
+		"resource: service\nname: *a\n", "a: &a [x]\nb: &b [*a, *a, *a]\nc: [*b, *b, *b]\n", strings.Repeat("[", 10_000), validDocument + "? " + strings.Repeat("x", fuzzAnswerBytes) + "\n: 1\n",
 		strings.Repeat("resource: x\n---\n", 10_000),
-		goodDocument + strings.Repeat("#", maxDocumentBytes), "resource: !!binary service\n", "<<: *x\n", "resource: service\nname: ünï\nslots: 0x10\nconnections: 0o7\n",
+		validDocument + strings.Repeat("#", maxDocumentBytes), "resource: !!binary service\n", "<<: *x\n", "resource: service\nname: ünï\nslots: 0x10\nconnections: 0o7\n",
 	} {
 		f.Add(uint8(post), "/v1/apply", "expected=7", bearer, body)
 	}
--- a/internal/admin/history.go
+++ b/internal/admin/history.go
@@ -30,7 +30,7 @@
 	_ = ctx.JSON(History{Revision: number, Revisions: orEmpty(kept)})
 }
 
-// revision serves a former revision in the same form as list serves the one in force.
+// revision serves a kept revision in the same form as list serves the one in force.
 func (s *Server) revision(ctx iris.Context) {
 	text := ctx.Params().Get("number")
 	number, err := strconv.ParseInt(text, 10, 64)
@@ -92,8 +92,8 @@
 	}
 }
 
-// failUnavailableRevision answers a request for a former revision that is not available,
-// and reports whether the error is of that kind.
+// failUnavailableRevision answers a request for a revision that is not available, and
+// reports whether the error is of that kind.
 func failUnavailableRevision(ctx iris.Context, err error) bool {
 	text := errorx.Cast(err)
 	switch {
--- a/internal/admin/resource.go
+++ b/internal/admin/resource.go
@@ -30,9 +30,9 @@
 const (
 	// documentName stands for the file name in the problems of a request body.
 	documentName = "document"
-	// maxProblemBytes bounds the problems of an answer to about 200 of them.
+	// maxProblemBytes limits the problems of an answer to about 200 of them.
 	maxProblemBytes = 32 << 10
-	// maxPathRunes bounds the path of a problem, which consists of the document's own
+	// maxPathRunes limits the path of a problem, which consists of the document's own
 	// keys and so may have any length.
 	maxPathRunes = 200
 )
@@ -130,12 +130,12 @@
 	return expected, dryRun, true
 }
 
-// revisionParameter reads a revision number from the query and answers the request itself
-// when the number is invalid.
-func revisionParameter(ctx iris.Context, name string, absent int64) (int64, bool) {
+// revisionParameter reads a revision number from the query and returns fallback if there is
+// none. It answers the request itself when the number is invalid.
+func revisionParameter(ctx iris.Context, name string, fallback int64) (int64, bool) {
 	text := ctx.URLParam(name)
 	if text == "" {
-		return absent, true
+		return fallback, true
 	}
 	number, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || number < 0 {
@@ -271,11 +271,11 @@
 }
 
 func truncatePath(text string) string {
-	letters := []rune(text)
-	if len(letters) <= maxPathRunes {
+	runes := []rune(text)
+	if len(runes) <= maxPathRunes {
 		return text
 	}
-	return string(letters[:maxPathRunes-1]) + "…"
+	return string(runes[:maxPathRunes-1]) + "…"
 }
 
 // failCommit answers a change that the node did not accept.
--- a/internal/admin/status.go
+++ b/internal/admin/status.go
@@ -65,12 +65,12 @@
 	Service struct {
 		Name    string   `json:"name"`
 		Targets []Target `json:"targets"`
-		// Unowned is nil while every fresh idempotency key has a live owner.
+		// Unowned is nil while every newly minted idempotency key has a live owner.
 		Unowned *Unowned `json:"unowned"`
 	}
 
-	// Unowned is the part of a service's fresh idempotency keys that has no live owner.
-	// Calls with these keys are refused.
+	// Unowned is the part of a service's newly minted idempotency keys that has no live
+	// owner. Calls with these keys are refused.
 	Unowned struct {
 		// Slots out of Of have no live owner; each slot is the same share of the keys.
 		Slots int `json:"slots"`
