--- a/internal/plat/client.go
+++ b/internal/plat/client.go
@@ -38,14 +38,14 @@
 )
 
 type (
-	// Limits bounds the requests of one process to the platform. A zero field means the
+	// Limits restricts the requests of one process to the platform. A zero field means the
 	// default.
 	Limits struct {
 		ReadsPerSecond  float64
 		WritesPerSecond float64
 		ReadBurst       int
 		WriteBurst      int
-		// Timeout bounds one request.
+		// Timeout limits the time of one request.
 		Timeout time.Duration
 		// After a failure the next request is delayed by a random part of the backoff,
 		// which doubles from BackoffMin to BackoffMax.
@@ -122,11 +122,11 @@
 	return l
 }
 
-func orDefault[T int | float64 | time.Duration](value, standard T) T {
+func orDefault[T int | float64 | time.Duration](value, fallback T) T {
 	if value > 0 {
 		return value
 	}
-	return standard
+	return fallback
 }
 
 func transport(timeout time.Duration) *http.Transport {
--- a/internal/plat/memory.go
+++ b/internal/plat/memory.go
@@ -13,7 +13,7 @@
 )
 
 // maxRememberedWrites is how many write ids Memory recognises. A real platform also
-// forgets them after some time.
+// forgets write ids after some time.
 const maxRememberedWrites = 65536
 
 type (
--- a/internal/plat/plat_test.go
+++ b/internal/plat/plat_test.go
@@ -43,7 +43,7 @@
 	is.NoErr(err)
 }
 
-func TestMemoryTransactionIsWholeOrNothing(t *testing.T) {
+func TestMemoryTransactionIsAtomic(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	store := plat.NewMemory().Store()
@@ -57,8 +57,8 @@
 	is.Equal(len(rows), 0)
 }
 
-// lossy passes writes on to the store, or loses the request or the answer as outcome
-// returns.
+// lossy returns a store that passes writes on to another store, or loses the request or
+// the answer, as outcome returns.
 func lossy(store plat.Store, outcome func() string) plat.Store {
 	commit := store.Commit
 	store.Commit = func(ctx context.Context, write plat.Write) (int64, error) {
@@ -74,30 +74,30 @@
 	return store
 }
 
-// TestResolvedTellsTheTruth compares the result that a writer gets with what the platform
-// did, under random loss and with a second writer in between.
-func TestResolvedTellsTheTruth(t *testing.T) {
+// TestResolvedOutcomeMatchesPlatform compares the result that a writer gets with what the
+// platform did, under random loss and with a second writer in between.
+func TestResolvedOutcomeMatchesPlatform(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		ctx := context.Background()
 		memory := plat.NewMemory()
 		applied := 0
-		watched := memory.Store()
-		commit := watched.Commit
-		watched.Commit = func(ctx context.Context, write plat.Write) (int64, error) {
-			before, _ := watched.Get(ctx, "t", "k")
+		counting := memory.Store()
+		commit := counting.Commit
+		counting.Commit = func(ctx context.Context, write plat.Write) (int64, error) {
+			before, _ := counting.Get(ctx, "t", "k")
 			version, err := commit(ctx, write)
 			if err == nil && version != before.Version && write.ID == "mine" {
 				applied++
 			}
 			if rapid.Bool().Draw(t, "other writes") {
-				row, _ := watched.Get(ctx, "t", "k")
+				row, _ := counting.Get(ctx, "t", "k")
 				_, _ = commit(ctx, set("other", "theirs", row.Version))
 			}
 			return version, err
 		}
 		outcomes := rapid.SampledFrom([]string{"ok", "request", "answer"})
-		store := plat.Resolved(lossy(watched, func() string { return outcomes.Draw(t, "fate") }))
+		store := plat.Resolved(lossy(counting, func() string { return outcomes.Draw(t, "outcome") }))
 		_, err := store.Commit(ctx, set("mine", "mine", 0))
 		switch {
 		case err == nil:
@@ -110,10 +110,9 @@
 	})
 }
 
-// TestResolvedAdmitsWhatCannotBeKnown: the answer is lost, another write replaces the
-// row, and the platform no longer remembers the id of the first write. The result must be
-// Unresolved.
-func TestResolvedAdmitsWhatCannotBeKnown(t *testing.T) {
+// The answer of a write is lost, another write replaces the row, and the platform no longer
+// remembers the id of the first write. The result must be Unresolved.
+func TestResolvedReturnsUnresolvedWhenWriteIDIsForgotten(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	inner := plat.NewMemory().Store()
@@ -135,10 +134,10 @@
 	is.True(errorx.IsOfType(err, plat.Unresolved))
 }
 
-// TestBackoffSpreadsReturningNodes: 530 nodes have failed until their backoff is longest.
-// When the platform returns, the requests in any one second stay below its capacity for
-// writes.
-func TestBackoffSpreadsReturningNodes(t *testing.T) {
+// TestBackoffSpreadsRequestsAfterOutage lets 530 nodes fail until their backoff is
+// longest. When the platform returns, the requests in any one second stay below its
+// capacity for writes.
+func TestBackoffSpreadsRequestsAfterOutage(t *testing.T) {
 	is := is.New(t)
 	const (
 		nodes          = 530
@@ -158,12 +157,12 @@
 			_, err := store.Get(context.Background(), "t", "k")
 			is.True(errorx.IsOfType(err, plat.Unavailable))
 		}
-		back := clk.now
+		outageEnd := clk.now
 		_, _ = store.Get(context.Background(), "t", "k")
-		perSecond[int64(clk.now.Sub(back)/time.Second)]++
+		perSecond[int64(clk.now.Sub(outageEnd)/time.Second)]++
 	}
-	for _, arriving := range perSecond {
-		is.True(arriving < writesASecond)
+	for _, requests := range perSecond {
+		is.True(requests < writesASecond)
 	}
 }
 
