--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -263,8 +263,8 @@
 
 func (c *Caller) newRetryState(ctx context.Context, request Request) *retryState {
 	deadline := c.Clock.Now().Add(request.Deadline)
-	if own, ok := ctx.Deadline(); ok && own.Before(deadline) {
-		deadline = own
+	if contextDeadline, ok := ctx.Deadline(); ok && contextDeadline.Before(deadline) {
+		deadline = contextDeadline
 	}
 	state := &retryState{
 		nodes:    c.orderedNodes(),
--- a/pkg/caller/caller_test.go
+++ b/pkg/caller/caller_test.go
@@ -130,7 +130,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.script) == 0 {
-		m.t.Errorf("a sending that the script does not expect")
+		m.t.Errorf("a request arrived after the last line of the script")
 		panic(http.ErrAbortHandler)
 	}
 	fields := strings.Fields(m.script[0])
@@ -235,7 +235,7 @@
 	if typed := errorx.Cast(err); typed != nil {
 		m.logf(" error=%s", typed.Type().FullName())
 	}
-	m.logf("%s", strings.Repeat("\nan answer was not played", len(m.script)))
+	m.logf("%s", strings.Repeat("\na line of the script was not used", len(m.script)))
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.log.String() + "\n"
--- a/pkg/caller/executions_test.go
+++ b/pkg/caller/executions_test.go
@@ -72,7 +72,7 @@
 	if key != "" && rapid.IntRange(0, 9).Draw(o.t, "dies") == 0 {
 		o.lostRecords[key] = true
 	}
-	switch rapid.SampledFrom([]string{"refused", "lost", "late", "not_run", "cut", "unknown", "answer"}).Draw(o.t, "fate") {
+	switch rapid.SampledFrom([]string{"refused", "lost", "late", "not_run", "cut", "unknown", "answer"}).Draw(o.t, "outcome") {
 	case "refused":
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: errBroken}
 	case "lost":
@@ -129,7 +129,7 @@
 
 // A request with the rule Never runs at most once, and the caller reports "not run" only for
 // a request that ran nowhere, even if an attempt arrives late.
-func TestExecutionsMatchWhatTheCallerIsTold(t *testing.T) {
+func TestReportedResultMatchesExecutions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		o := &fakeOwner{t: t, now: time.UnixMilli(1_700_000_000_000), ran: map[string]bool{}, lostRecords: map[string]bool{}}
--- a/pkg/caller/retry.go
+++ b/pkg/caller/retry.go
@@ -200,8 +200,8 @@
 func (s *retryState) delay(retryAfter time.Duration) time.Duration {
 	doubled := float64(s.backoff.Base) * math.Exp2(float64(s.repeats-1))
 	backoff := min(doubled, float64(s.backoff.Max)) * (minBackoffShare + (1-minBackoffShare)*s.random())
-	asked := float64(retryAfter) * (1 + retryAfterSpread*s.random())
-	return time.Duration(max(backoff, asked))
+	requested := float64(retryAfter) * (1 + retryAfterSpread*s.random())
+	return time.Duration(max(backoff, requested))
 }
 
 // responseMargin returns the part of the announced time that is reserved for the answer to
--- a/pkg/result/result_test.go
+++ b/pkg/result/result_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestEveryCodeParsesByNumberAndName(t *testing.T) {
+func TestEveryCodeParsesByName(t *testing.T) {
 	is := is.New(t)
 	for _, info := range All() {
 		byName, ok := Parse(info.Name)
--- a/pkg/schema/check.go
+++ b/pkg/schema/check.go
@@ -80,30 +80,30 @@
 func (p *parser) checkCycles() {
 	done := map[string]bool{}
 	for i := range p.set.Kinds {
-		var trail []string
-		p.findCycles(&p.set.Kinds[i], trail, done)
+		var stack []string
+		p.findCycles(&p.set.Kinds[i], stack, done)
 	}
 }
 
-// findCycles does a depth-first search from kind. The trail holds the kinds on the current
+// findCycles does a depth-first search from kind. The stack holds the kinds on the current
 // path; done holds those that have been searched completely.
-func (p *parser) findCycles(kind *Kind, trail []string, done map[string]bool) {
+func (p *parser) findCycles(kind *Kind, stack []string, done map[string]bool) {
 	if done[kind.Name] {
 		return
 	}
-	trail = append(trail, kind.Name)
+	stack = append(stack, kind.Name)
 	decl := p.declarations[TypeKind][kind.Name]
 	for _, value := range items(decl.Fields["calls"]) {
 		called := p.set.Kind(value.Node.Value)
 		if called == nil {
 			continue
 		}
-		if start := slices.Index(trail, called.Name); start >= 0 {
-			cycle := strings.Join(append(slices.Clone(trail[start:]), called.Name), " -> ")
+		if start := slices.Index(stack, called.Name); start >= 0 {
+			cycle := strings.Join(append(slices.Clone(stack[start:]), called.Name), " -> ")
 			decl.reader.Reportf(value, "calls without a cycle (%s)", cycle)
 			continue
 		}
-		p.findCycles(called, trail, done)
+		p.findCycles(called, stack, done)
 	}
 	done[kind.Name] = true
 }
--- a/pkg/schema/match_test.go
+++ b/pkg/schema/match_test.go
@@ -93,11 +93,11 @@
 			free := true
 			for i := range set.Kinds {
 				other := &set.Kinds[i]
-				clash := naiveConflicts(other, &kind)
-				if conflicts(other, &kind) != clash {
-					t.Fatalf("%s %s and %s %s: conflict should be %v", other.Method, other.Path, kind.Method, kind.Path, clash)
+				conflict := naiveConflicts(other, &kind)
+				if conflicts(other, &kind) != conflict {
+					t.Fatalf("%s %s and %s %s: conflict should be %v", other.Method, other.Path, kind.Method, kind.Path, conflict)
 				}
-				free = free && !clash
+				free = free && !conflict
 			}
 			if free {
 				set.Kinds = append(set.Kinds, kind)
--- a/pkg/schema/prefix_test.go
+++ b/pkg/schema/prefix_test.go
@@ -9,7 +9,7 @@
 	"github.com/dandelionfield/dandelionfield/pkg/schema"
 )
 
-const prefixes = `
+const prefixDocument = `
 resource: service
 name: stock
 slots: 10
@@ -42,10 +42,10 @@
 
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	is := is.New(t)
-	set, err := schema.Parse("declarations", []byte(prefixes))
+	set, err := schema.Parse("declarations", []byte(prefixDocument))
 	is.NoErr(err)
 	matcher := schema.NewMatcher(set)
-	for _, one := range []struct{ host, path, kind string }{
+	for _, test := range []struct{ host, path, kind string }{
 		{"shop.example", "/rope/7", "rope"},
 		{"SHOP.example:8080", "/rope/", "rope"},
 		{"shop.example", "/rope", "all_of_shop"},
@@ -55,20 +55,20 @@
 		{"other.example", "/rope/3", ""},
 		{"shop.example", "/%72ope/7", "all_of_shop"}, // the path is compared undecoded
 	} {
-		kind, ok := matcher.MatchPrefix(one.host, one.path)
-		is.Equal(ok, one.kind != "")
+		kind, ok := matcher.MatchPrefix(test.host, test.path)
+		is.Equal(ok, test.kind != "")
 		if ok {
-			is.Equal(kind.Name, one.kind)
+			is.Equal(kind.Name, test.kind)
 		}
 	}
 	is.Equal(set.Kind("all_of_shop").Repeat, schema.Never) // the default for a prefix, which accepts any method
 	is.Equal(set.Chain("all_of_shop"), []string{"stock", "stock_next"})
-	again, err := schema.Parse("document", set.Document())
+	reparsed, err := schema.Parse("document", set.Document())
 	is.NoErr(err)
-	is.Equal(set.Document(), again.Document())
+	is.Equal(set.Document(), reparsed.Document())
 }
 
-func TestPrefixMistakesAreNamedWithTheirPlace(t *testing.T) {
+func TestPrefixProblemsHavePositions(t *testing.T) {
 	is := is.New(t)
 	_, err := schema.Parse("mesh.yaml", []byte(`resource: service
 name: stock
--- a/pkg/schema/schema_test.go
+++ b/pkg/schema/schema_test.go
@@ -82,7 +82,7 @@
 	return text.String()
 }
 
-func TestFilesReferToEachOther(t *testing.T) {
+func TestReferencesResolveAcrossFiles(t *testing.T) {
 	is := is.New(t)
 	set, err := ParseDir("testdata/mesh")
 	is.NoErr(err)
@@ -117,12 +117,12 @@
 			return
 		}
 		document := set.Document()
-		again, err := Parse("fuzz.yaml", document)
+		reparsed, err := Parse("fuzz.yaml", document)
 		if err != nil {
 			t.Fatalf("the canonical form does not parse: %v\n%s", err, document)
 		}
-		if !bytes.Equal(again.Document(), document) || len(set.Diff(again)) > 0 {
-			t.Fatalf("the canonical form changes:\n%s\n%s", document, again.Document())
+		if !bytes.Equal(reparsed.Document(), document) || len(set.Diff(reparsed)) > 0 {
+			t.Fatalf("the canonical form changes:\n%s\n%s", document, reparsed.Document())
 		}
 	})
 }
