--- a/internal/shell/client.go
+++ b/internal/shell/client.go
@@ -50,9 +50,9 @@
 	_ = command.MarkFlagRequired("node")
 }
 
-// get fetches path and decodes the JSON response into answer.
-func (c *client) get(ctx context.Context, path string, answer any) error {
-	return c.call(ctx, http.MethodGet, path, nil, answer)
+// get fetches path and decodes the JSON response into the value that into points to.
+func (c *client) get(ctx context.Context, path string, into any) error {
+	return c.call(ctx, http.MethodGet, path, nil, into)
 }
 
 // apply sends a document of declarations to be accepted as the revision after expected. If
@@ -79,7 +79,7 @@
 	return applied, err
 }
 
-func (c *client) call(ctx context.Context, method, path string, body []byte, answer any) error {
+func (c *client) call(ctx context.Context, method, path string, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	response, err := c.send(ctx, method, path, body)
@@ -94,7 +94,7 @@
 	if response.StatusCode != http.StatusOK {
 		return c.responseError(response.StatusCode, data)
 	}
-	if err := json.Unmarshal(data, answer); err != nil {
+	if err := json.Unmarshal(data, into); err != nil {
 		return Failed.New("the response of %s is not that of a node's admin API: %v", c.node, err)
 	}
 	return nil
@@ -126,8 +126,8 @@
 // connectionError describes a request that got no complete response. A change cannot have
 // been accepted if the connection was never opened, and may have been accepted otherwise.
 func (c *client) connectionError(method string, err error) error {
-	var opening *net.OpError
-	if errors.As(err, &opening) && opening.Op == "dial" {
+	var opError *net.OpError
+	if errors.As(err, &opError) && opError.Op == "dial" {
 		return Failed.New("no connection to %s, so nothing was sent; try another node (%v)", c.node, err)
 	}
 	if method == http.MethodGet {
--- a/internal/shell/config.go
+++ b/internal/shell/config.go
@@ -105,11 +105,12 @@
 	return nil
 }
 
-// collectProblems appends the problems that err holds, and returns any other error.
-func collectProblems(to *decode.Problems, err error) error {
+// collectProblems appends the problems that err holds to collected, and returns any other
+// error.
+func collectProblems(collected *decode.Problems, err error) error {
 	var problems decode.Problems
 	if errors.As(err, &problems) {
-		*to = append(*to, problems...)
+		*collected = append(*collected, problems...)
 		return nil
 	}
 	if err != nil {
@@ -241,7 +242,7 @@
 	}
 	applied, err := a.client.apply(ctx, set.Document(), options.expected, options.dryRun)
 	if errorx.IsOfType(err, Unanswered) && !options.dryRun {
-		applied, err = a.resolveLostAnswer(ctx, set, options.expected, err)
+		applied, err = a.resolveLostResponse(ctx, set, options.expected, err)
 	}
 	if err != nil {
 		return err
@@ -264,10 +265,10 @@
 	return a.waitInForce(ctx, applied.Revision, options.timeout)
 }
 
-// resolveLostAnswer finds out whether a change whose response was lost was accepted. If so,
-// the node soon has a higher revision with the same declarations. If no such revision
+// resolveLostResponse finds out whether a change whose response was lost was accepted. If
+// so, the node soon has a higher revision with the same declarations. If no such revision
 // appears, the change may still have been accepted, so the original error is returned.
-func (a *app) resolveLostAnswer(ctx context.Context, declared *schema.Set, expected int64, lost error) (admin.Applied, error) {
+func (a *app) resolveLostResponse(ctx context.Context, declared *schema.Set, expected int64, lost error) (admin.Applied, error) {
 	for range resolvePolls {
 		select {
 		case <-ctx.Done():
--- a/internal/shell/events_test.go
+++ b/internal/shell/events_test.go
@@ -24,25 +24,25 @@
 // positions of the log calls whose event or keys are not literals.
 func logCalls(fset *token.FileSet, file *ast.File) (rows, nonLiteral []string) {
 	ast.Inspect(file, func(node ast.Node) bool {
-		called, ok := node.(*ast.CallExpr)
+		call, ok := node.(*ast.CallExpr)
 		if !ok {
 			return true
 		}
-		level, ok := levelOf(called)
+		level, ok := levelOf(call)
 		if !ok {
 			return true
 		}
-		where := fset.Position(called.Pos()).String()
-		event := literal(called.Args[0])
-		if event == "" || len(called.Args)%2 == 0 {
-			nonLiteral = append(nonLiteral, where+": the event is not a literal, or a key has no value")
+		position := fset.Position(call.Pos()).String()
+		event := literal(call.Args[0])
+		if event == "" || len(call.Args)%2 == 0 {
+			nonLiteral = append(nonLiteral, position+": the event is not a literal, or a key has no value")
 			return true
 		}
 		var keys []string
-		for i := 1; i < len(called.Args); i += 2 {
-			key := literal(called.Args[i])
+		for i := 1; i < len(call.Args); i += 2 {
+			key := literal(call.Args[i])
 			if key == "" {
-				nonLiteral = append(nonLiteral, where+": a key is not a literal")
+				nonLiteral = append(nonLiteral, position+": a key is not a literal")
 			}
 			keys = append(keys, "`"+key+"`")
 		}
@@ -54,8 +54,8 @@
 
 // levelOf returns the level of a log call. A log call is a call of a level method of a
 // variable or field named log, in any case.
-func levelOf(called *ast.CallExpr) (string, bool) {
-	method, ok := called.Fun.(*ast.SelectorExpr)
+func levelOf(call *ast.CallExpr) (string, bool) {
+	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !slices.Contains([]string{"Trace", "Debug", "Info", "Warn", "Error"}, method.Sel.Name) {
 		return "", false
 	}
@@ -66,7 +66,7 @@
 	case *ast.Ident:
 		name = logger.Name
 	}
-	return strings.ToLower(method.Sel.Name), strings.EqualFold(name, "log") && len(called.Args) > 0
+	return strings.ToLower(method.Sel.Name), strings.EqualFold(name, "log") && len(call.Args) > 0
 }
 
 func literal(expression ast.Expr) string {
@@ -78,9 +78,9 @@
 	return text
 }
 
-// TestEventsPageHoldsEveryEvent collects all log calls from the source code and checks that
-// docs/events.md lists exactly these.
-func TestEventsPageHoldsEveryEvent(t *testing.T) {
+// TestEventsPageListsAllLogCalls collects all log calls from the source code and checks
+// that docs/events.md lists exactly these.
+func TestEventsPageListsAllLogCalls(t *testing.T) {
 	is := is.New(t)
 	fset := token.NewFileSet()
 	inSource := map[string]bool{}
@@ -97,8 +97,8 @@
 			for _, row := range rows {
 				inSource[row] = true
 			}
-			for _, what := range nonLiteral {
-				t.Error(what)
+			for _, problem := range nonLiteral {
+				t.Error(problem)
 			}
 			return nil
 		}))
@@ -122,9 +122,9 @@
 	}
 }
 
-// TestUnclearEventsAreFound checks that logCalls reports calls whose event or key is not a
-// literal.
-func TestUnclearEventsAreFound(t *testing.T) {
+// TestLogCallsReportsNonLiterals checks that logCalls reports calls whose event or key is
+// not a literal.
+func TestLogCallsReportsNonLiterals(t *testing.T) {
 	is := is.New(t)
 	source := "package p\nfunc f() {\n s.Log.Info(name)\n s.log.Warn(`b`, k, 1)\n log.Error(`c`, `k`)\n log.Debug(`d`, `k`, 1)\n}"
 	fset := token.NewFileSet()
--- a/internal/shell/reload.go
+++ b/internal/shell/reload.go
@@ -17,7 +17,7 @@
 func watchSettings(ctx context.Context, file string, log hclog.Logger) <-chan *setup.Node {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	read := make(chan *setup.Node)
+	reloaded := make(chan *setup.Node)
 	go func() {
 		defer signal.Stop(hangups)
 		for {
@@ -32,11 +32,11 @@
 				continue
 			}
 			select {
-			case read <- node:
+			case reloaded <- node:
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	return read
+	return reloaded
 }
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -61,8 +61,8 @@
 // read.
 const logFlushTimeout = 200 * time.Millisecond
 
-// tokenVariable is the environment variable for the operator token if --token is not given.
-// Unlike the variable, a flag is visible in the process list.
+// tokenVariable is the environment variable that holds the operator token if --token is
+// not given. The variable exists because a flag is visible in the process list.
 const tokenVariable = "DANDELIONFIELD_TOKEN"
 
 const rootHelp = `dandelionfield keeps a mesh of services answering under overload.
@@ -94,13 +94,13 @@
 )
 
 // Main runs the command line with the given arguments and returns the exit code.
-func Main(args []string, stdout, stderr io.Writer, seams Dependencies) int {
+func Main(args []string, stdout, stderr io.Writer, dependencies Dependencies) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if seams.Clock == nil {
-		seams.Clock = clock.System{}
+	if dependencies.Clock == nil {
+		dependencies.Clock = clock.System{}
 	}
-	a := &app{Dependencies: seams, stdout: stdout, stderr: stderr}
+	a := &app{Dependencies: dependencies, stdout: stdout, stderr: stderr}
 	root := a.root()
 	root.SetArgs(args)
 	root.SetOut(stdout)
@@ -195,9 +195,9 @@
 	return "unknown"
 }
 
-// markFailed wraps the RunE function of a command so that its untyped errors become Failed.
-// Only problems with positions stay untyped. Other untyped errors then come from parsing the
-// command line.
+// markFailed wraps the RunE function of a command so that its untyped errors become
+// Failed. Problems with positions (decode.Problems) stay untyped. Any other untyped error
+// that Main receives therefore comes from parsing the command line.
 func markFailed(run func(*cobra.Command, []string) error) func(*cobra.Command, []string) error {
 	return func(command *cobra.Command, args []string) error {
 		err := run(command, args)
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -33,11 +33,11 @@
 		history        []*schema.Set // revision n is at n-1
 		lagging        int           // status responses until the other member catches up
 		dropsWatches   bool          // watches break off after one revision
-		offline        bool          // the platform does not respond
+		platformDown   bool          // the platform does not respond
 		lastDropped    int64         // revisions up to this one are no longer kept
-		losesAnswer    bool          // the response to the next change is lost
+		losesResponse  bool          // the response to the next change is lost
 		supersedesNext bool          // the next change is superseded before its response
-		rivalFirst     bool          // another operator's change is accepted instead
+		rivalFirst     bool          // another operator's change is accepted instead of the next one
 		drained        bool
 	}
 
@@ -90,7 +90,7 @@
 		Apply:        m.apply,
 		Current:      m.current,
 		History:      m.entries,
-		LoadRevision: m.former,
+		LoadRevision: m.loadRevision,
 		Rollback:     m.rollback,
 		Watch:        m.watch,
 		Status:       m.status,
@@ -108,7 +108,7 @@
 func (m *fakeMesh) apply(_ context.Context, document []byte, expected int64, dryRun bool) (admin.Applied, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.offline {
+	if m.platformDown {
 		return admin.Applied{}, config.Unresolved.New("no answer")
 	}
 	number := int64(len(m.history))
@@ -130,8 +130,8 @@
 		m.supersedesNext = false
 		m.history = append(m.history, &schema.Set{Limits: schema.DefaultLimits()})
 	}
-	if m.losesAnswer {
-		m.losesAnswer = false
+	if m.losesResponse {
+		m.losesResponse = false
 		return admin.Applied{}, config.Unresolved.New("answer lost")
 	}
 	return admin.Applied{Revision: number + 1}, nil
@@ -140,7 +140,7 @@
 func (m *fakeMesh) entries(context.Context) ([]config.Entry, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.offline {
+	if m.platformDown {
 		return nil, config.Unreachable.New("the platform gave no answer")
 	}
 	var entries []config.Entry
@@ -150,7 +150,7 @@
 	return entries, nil
 }
 
-func (m *fakeMesh) former(ctx context.Context, number int64) (config.Revision, error) {
+func (m *fakeMesh) loadRevision(ctx context.Context, number int64) (config.Revision, error) {
 	entries, err := m.entries(ctx)
 	if err != nil {
 		return config.Revision{}, err
@@ -163,7 +163,7 @@
 }
 
 func (m *fakeMesh) rollback(ctx context.Context, number, expected int64, dryRun bool) (admin.Applied, error) {
-	former, err := m.former(ctx, number)
+	former, err := m.loadRevision(ctx, number)
 	if err != nil {
 		return admin.Applied{}, err
 	}
@@ -213,7 +213,7 @@
 	}
 	return admin.Status{
 		Node: "orders-1", Incarnation: "i1", DataCentre: "tartu-1", Service: "orders", State: admin.StateReady,
-		Revision: number, Digest: "0011223344556677", PlatformReachable: !m.offline, PlatformSilentMS: 700_000,
+		Revision: number, Digest: "0011223344556677", PlatformReachable: !m.platformDown, PlatformSilentMS: 700_000,
 		Members: []admin.Member{
 			{Name: "orders-1", Incarnation: "i1", DataCentre: "tartu-1", Service: "orders", State: "active", Revision: number},
 			{Name: "stock-1", DataCentre: "tartu-2", Service: "stock", State: "active", Revision: other},
@@ -262,7 +262,7 @@
 	case "break":
 		mesh.dropsWatches = true
 	case "lose":
-		mesh.losesAnswer = true
+		mesh.losesResponse = true
 	case "fair":
 		mesh.rivalFirst = false
 	case "forget":
@@ -270,9 +270,9 @@
 	case "late":
 		mesh.supersedesNext = true
 	case "rival":
-		mesh.losesAnswer, mesh.rivalFirst = true, true
+		mesh.losesResponse, mesh.rivalFirst = true, true
 	case "offline":
-		mesh.offline = true
+		mesh.platformDown = true
 	case "drained":
 		if !mesh.drained {
 			ts.Fatalf("the node does not drain")
@@ -301,11 +301,11 @@
 
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
-		"dandelionfield": func() { os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr, testSeams())) },
+		"dandelionfield": func() { os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr, testDependencies())) },
 	})
 }
 
-func testSeams() Dependencies {
+func testDependencies() Dependencies {
 	return Dependencies{
 		Clock:   &skipClock{timers: map[chan time.Time]time.Time{}, skip: maxScriptSkip},
 		Version: "1.2.3",
@@ -317,18 +317,18 @@
 	}
 }
 
-// TestWatchGivesUpOnSilence connects to a node that sends nothing, with a clock on which
+// TestWatchIdleTimeout connects to a node that sends nothing, with a clock on which
 // watchIdleTimeout passes at once. The watch has to give up the connection.
-func TestWatchGivesUpOnSilence(t *testing.T) {
+func TestWatchIdleTimeout(t *testing.T) {
 	is := is.New(t)
-	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}))
-	defer web.Close()
+	defer server.Close()
 	clock := &skipClock{timers: map[chan time.Time]time.Time{}, skip: watchIdleTimeout}
 	a := &app{Dependencies: Dependencies{Clock: clock}, stdout: io.Discard, stderr: io.Discard}
-	a.client.node = web.Listener.Addr().String()
+	a.client.node = server.Listener.Addr().String()
 	var after int64
 	var printed int
 	done, err := a.watchOnce(t.Context(), &after, &printed, 0)
@@ -336,7 +336,7 @@
 	is.True(strings.Contains(err.Error(), "no data received"))
 }
 
-func TestCodesPageHoldsTheTable(t *testing.T) {
+func TestCodesPageMatchesExplainAll(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/codes.md")
 	is.NoErr(err)
--- a/internal/shell/status.go
+++ b/internal/shell/status.go
@@ -64,14 +64,14 @@
 }
 
 func (a *app) drain(ctx context.Context) error {
-	var answer struct {
+	var response struct {
 		State string `json:"state"`
 	}
-	if err := a.client.call(ctx, http.MethodPost, "/v1/drain", nil, &answer); err != nil {
+	if err := a.client.call(ctx, http.MethodPost, "/v1/drain", nil, &response); err != nil {
 		return err
 	}
-	return a.print(answer, func(w io.Writer) {
-		_, _ = fmt.Fprintf(w, "%s: %s\n", a.client.node, answer.State)
+	return a.print(response, func(w io.Writer) {
+		_, _ = fmt.Fprintf(w, "%s: %s\n", a.client.node, response.State)
 	})
 }
 
--- a/internal/shell/table_test.go
+++ b/internal/shell/table_test.go
@@ -63,7 +63,7 @@
 	return status
 }
 
-func TestStatusFitsOnAScreen(t *testing.T) {
+func TestStatusFitsScreen(t *testing.T) {
 	is := is.New(t)
 	status := worstCaseStatus()
 	var out bytes.Buffer
@@ -87,9 +87,9 @@
 	is.True(strings.Count(out.String(), "\n") > 2*designNodes) // --all lists every member and target
 }
 
-// TestStatusSaysWhatIsNewInEveryForm checks that the formats for programs, YAML and JSON,
+// TestStatusKeysInYAMLAndJSON checks that the formats for programs, YAML and JSON,
 // contain the keys and conditions that were added last.
-func TestStatusSaysWhatIsNewInEveryForm(t *testing.T) {
+func TestStatusKeysInYAMLAndJSON(t *testing.T) {
 	for _, form := range []outputFormat{outputYAML, outputJSON} {
 		is := is.New(t)
 		var out bytes.Buffer
--- a/internal/shell/wait.go
+++ b/internal/shell/wait.go
@@ -32,8 +32,9 @@
 )
 
 const (
-	// maxOtherNodes is how many nodes are asked besides the first one, each in another data
-	// centre, as they may know members that the first node does not.
+	// maxOtherNodes is how many answers are collected from nodes other than the one named by
+	// --node, at most one from each data centre. These nodes may know members that the first
+	// node does not.
 	maxOtherNodes = 2
 	// triesPerDataCentre is how many nodes of a data centre are tried until one answers.
 	triesPerDataCentre = 3
@@ -51,15 +52,15 @@
 	defer cancel()
 	expired := a.Clock.After(timeout)
 	for {
-		r, err := a.collectStatuses(ctx)
+		view, err := a.collectStatuses(ctx)
 		why := ""
 		if err != nil {
 			why = errorCause(err)
 		} else {
-			why = r.lagReason(revision)
+			why = view.lagReason(revision)
 		}
 		if why == "" {
-			a.printInForce(r, revision)
+			a.printInForce(view, revision)
 			return nil
 		}
 		select {
@@ -73,35 +74,35 @@
 	}
 }
 
-func (a *app) printInForce(r rolloutView, revision int64) {
+func (a *app) printInForce(view rolloutView, revision int64) {
 	if a.output != outputTable {
 		return
 	}
-	_, _ = fmt.Fprintf(a.stdout, "revision %d is in force at all %d members (nodes asked: %d)\n", revision, len(r.members()), len(r.statuses))
+	_, _ = fmt.Fprintf(a.stdout, "revision %d is in force at all %d members (nodes asked: %d)\n", revision, len(view.members()), len(view.statuses))
 }
 
-// collectStatuses asks the node named by --node for its status, and then one node in each of
-// up to two of the data centres that its status lists, preferring data centres other than
-// its own.
+// collectStatuses asks the node named by --node for its status, and then one node in each
+// data centre that this status lists, until maxOtherNodes of them have answered. The data
+// centre of the first node comes last.
 func (a *app) collectStatuses(ctx context.Context) (rolloutView, error) {
-	var r rolloutView
+	var view rolloutView
 	var first admin.Status
 	if err := a.client.get(ctx, "/v1/status", &first); err != nil {
-		return r, err
+		return view, err
 	}
-	r.statuses = append(r.statuses, first)
+	view.statuses = append(view.statuses, first)
 	for _, candidates := range byDataCentre(first) {
-		if len(r.statuses) > maxOtherNodes {
+		if len(view.statuses) > maxOtherNodes {
 			break
 		}
 		status, err := a.firstStatus(ctx, candidates)
 		if err != nil {
-			r.failures = append(r.failures, errorCause(err))
+			view.failures = append(view.failures, errorCause(err))
 			continue
 		}
-		r.statuses = append(r.statuses, status)
+		view.statuses = append(view.statuses, status)
 	}
-	return r, nil
+	return view, nil
 }
 
 // byDataCentre groups the other members that take work by data centre. The data centre of
@@ -154,11 +155,13 @@
 }
 
 // lagReason returns what keeps the revision from being in force everywhere, as far as the
-// nodes know, or an empty string if nothing does. If fewer nodes answered than should have,
-// it returns their errors, since the silent nodes may know members that lag.
-func (r rolloutView) lagReason(revision int64) string {
+// nodes know, or an empty string if nothing does. If no known member lags, but a data
+// centre did not answer and fewer than maxOtherNodes other nodes did, it returns the
+// errors of the data centres without an answer, since their nodes may know members that
+// lag.
+func (v rolloutView) lagReason(revision int64) string {
 	var texts []string
-	for _, m := range r.members() {
+	for _, m := range v.members() {
 		if m.Revision < revision {
 			texts = append(texts, m.String())
 		}
@@ -170,16 +173,16 @@
 		}
 		return "it lags at " + strings.Join(texts[:min(len(texts), maxListedMembers)], ", ") + rest
 	}
-	if len(r.failures) > 0 && len(r.statuses) <= maxOtherNodes {
-		return "no second opinion: " + strings.Join(r.failures, ", ")
+	if len(v.failures) > 0 && len(v.statuses) <= maxOtherNodes {
+		return "no second opinion: " + strings.Join(v.failures, ", ")
 	}
 	return ""
 }
 
 // members returns every member that any of the nodes knows, sorted by name and incarnation.
-func (r rolloutView) members() []*knownMember {
+func (v rolloutView) members() []*knownMember {
 	known := map[string]*knownMember{}
-	for _, status := range r.statuses {
+	for _, status := range v.statuses {
 		self := admin.Member{Name: status.Node, Incarnation: status.Incarnation, DataCentre: status.DataCentre, State: status.State, Revision: status.Revision}
 		silent := status.Silent()
 		for _, m := range append([]admin.Member{self}, status.Members...) {
@@ -193,7 +196,7 @@
 	}
 	list := make([]*knownMember, 0, len(known))
 	for _, m := range known {
-		m.unknownTo = r.nodeUnawareOf(m.Member)
+		m.unknownTo = v.nodeUnawareOf(m.Member)
 		list = append(list, m)
 	}
 	slices.SortFunc(list, func(a, b *knownMember) int {
@@ -204,8 +207,8 @@
 
 // nodeUnawareOf returns the name of a node that does not know the member, or an empty
 // string.
-func (r rolloutView) nodeUnawareOf(m admin.Member) string {
-	for _, status := range r.statuses {
+func (v rolloutView) nodeUnawareOf(m admin.Member) string {
+	for _, status := range v.statuses {
 		if status.Node != m.Name && !slices.ContainsFunc(status.Members, func(other admin.Member) bool { return other.Name == m.Name }) {
 			return status.Node
 		}
@@ -214,16 +217,16 @@
 }
 
 // String returns the member's name and the possible reasons why it lags.
-func (l *knownMember) String() string {
-	reasons := []string{l.DataCentre, l.State, fmt.Sprintf("has revision %d", l.Revision)}
-	if l.Revision == 0 {
+func (m *knownMember) String() string {
+	reasons := []string{m.DataCentre, m.State, fmt.Sprintf("has revision %d", m.Revision)}
+	if m.Revision == 0 {
 		reasons[2] = "has no revision"
 	}
-	if !l.answered {
+	if !m.answered {
 		reasons = append(reasons, "does not answer")
 	}
-	if l.unknownTo != "" {
-		reasons = append(reasons, "unknown to "+l.unknownTo)
+	if m.unknownTo != "" {
+		reasons = append(reasons, "unknown to "+m.unknownTo)
 	}
-	return l.Name + " (" + strings.Join(reasons, ", ") + ")"
+	return m.Name + " (" + strings.Join(reasons, ", ") + ")"
 }
--- a/internal/shell/wait_test.go
+++ b/internal/shell/wait_test.go
@@ -26,11 +26,11 @@
 func (n statusByNode) serve(t *testing.T) map[string]string {
 	addresses := map[string]string{}
 	for name, status := range n {
-		web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_ = json.NewEncoder(w).Encode(status)
 		}))
-		t.Cleanup(web.Close)
-		addresses[name] = web.Listener.Addr().String()
+		t.Cleanup(server.Close)
+		addresses[name] = server.Listener.Addr().String()
 	}
 	for _, status := range n {
 		for i, m := range status.Members {
@@ -52,9 +52,9 @@
 	return admin.Member{Name: name, DataCentre: dataCentre, State: "active", Revision: revision}
 }
 
-// TestWaitAsksNodesElsewhere waits through node a until revision 7 is in force. Node a may
-// not know every member, so the wait has to ask nodes of other data centres too.
-func TestWaitAsksNodesElsewhere(t *testing.T) {
+// TestWaitAsksOtherDataCentres waits through node a until revision 7 is in force. Node a
+// may not know every member, so the wait has to ask nodes of other data centres too.
+func TestWaitAsksOtherDataCentres(t *testing.T) {
 	a, b, c, d := newMember("a", "east", awaitedRevision), newMember("b", "west", awaitedRevision), newMember("c", "north", awaitedRevision), newMember("d", "west", 5)
 	e := newMember("e", "west", awaitedRevision)
 	stuck := nodeStatus("a", "east", a, b, c, d)
@@ -65,14 +65,14 @@
 		want  string
 	}{
 		{"in force", statusByNode{"a": nodeStatus("a", "east", a, b, c), "b": nodeStatus("b", "west", a, b, c), "c": nodeStatus("c", "north", a, b, c)}, ""},
-		{"alone", statusByNode{"a": nodeStatus("a", "east", a)}, ""},
-		{"others know more", statusByNode{"a": nodeStatus("a", "east", a, b, c), "b": nodeStatus("b", "west", a, b, c, d), "c": nodeStatus("c", "north", a, b, c)},
+		{"single node", statusByNode{"a": nodeStatus("a", "east", a)}, ""},
+		{"other nodes know more members", statusByNode{"a": nodeStatus("a", "east", a, b, c), "b": nodeStatus("b", "west", a, b, c, d), "c": nodeStatus("c", "north", a, b, c)},
 			"it lags at d (west, active, has revision 5, unknown to a)"},
-		{"the first is behind with its news", statusByNode{"a": nodeStatus("a", "east", a, newMember("b", "west", 5), c), "b": nodeStatus("b", "west", a, b, c), "c": nodeStatus("c", "north", a, b, c)}, ""},
+		{"first node has outdated revisions", statusByNode{"a": nodeStatus("a", "east", a, newMember("b", "west", 5), c), "b": nodeStatus("b", "west", a, b, c), "c": nodeStatus("c", "north", a, b, c)}, ""},
 		{"silent member", statusByNode{"a": stuck, "c": nodeStatus("c", "north", a, b, c), "b": nodeStatus("b", "west", a, b, c)},
 			"it lags at d (west, active, has revision 5, does not answer, unknown to c)"},
 		{"silent data centre", statusByNode{"a": nodeStatus("a", "east", a, b, c), "c": nodeStatus("c", "north", a, b, c)}, "no second opinion: no connection to 127.0.0.1:1"},
-		{"another of a data centre answers", statusByNode{"a": nodeStatus("a", "east", a, b, c, e), "c": nodeStatus("c", "north", a, b, c), "e": nodeStatus("e", "west", a, b, c, d, e)},
+		{"second node of a data centre answers", statusByNode{"a": nodeStatus("a", "east", a, b, c, e), "c": nodeStatus("c", "north", a, b, c), "e": nodeStatus("e", "west", a, b, c, d, e)},
 			"it lags at d (west, active, has revision 5, unknown to a)"},
 	}
 	for _, test := range cases {
--- a/internal/shell/live.go
+++ b/internal/shell/watch_status.go
@@ -42,7 +42,7 @@
 }
 
 // watchStatus shows the status each second until the context ends or it has been shown
-// --count times. If the node does not respond, it is asked again.
+// --count times. If the node does not respond, it is asked again after redrawInterval.
 func (a *app) watchStatus(ctx context.Context, options statusOptions, terminal bool) error {
 	for shown := 1; ; shown++ {
 		status, err := a.client.status(ctx)
--- a/internal/shell/live_test.go
+++ b/internal/shell/watch_status_test.go
@@ -9,10 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// TestWatchDrawsOverTheFormerStatus draws three screens on a terminal: two of a node that
-// responds, and one of a node that cannot be reached. Each screen has to erase what is left
-// of the previous one.
-func TestWatchDrawsOverTheFormerStatus(t *testing.T) {
+// TestWatchStatusErasesPreviousScreen draws three screens on a terminal: two of a node
+// that responds, and one of a node that cannot be reached. Each screen has to erase what
+// is left of the previous one.
+func TestWatchStatusErasesPreviousScreen(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	clock := &skipClock{timers: map[chan time.Time]time.Time{}, skip: redrawInterval}
