--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -143,14 +143,14 @@
 	if seed := os.Getenv(seedVariable); seed != "" {
 		layout = append(layout, "--seed", seed)
 	}
-	flags := flag.NewFlagSet("mesh", flag.ContinueOnError)
-	naive := flags.Bool("naive", false, "")
-	flags.Func("wire", "", func(host string) error {
+	flagSet := flag.NewFlagSet("mesh", flag.ContinueOnError)
+	naive := flagSet.Bool("naive", false, "")
+	flagSet.Func("wire", "", func(host string) error {
 		layout = append(layout, "--wire", host)
 		return nil
 	})
-	allWires := flags.Bool("all-wires", false, "")
-	ts.Check(flags.Parse(args))
+	allWires := flagSet.Bool("all-wires", false, "")
+	ts.Check(flagSet.Parse(args))
 	if *allWires {
 		layout = append(layout, "--all-wires")
 	}
@@ -206,9 +206,9 @@
 func restart(ts *testscript.TestScript, neg bool, args []string) {
 	m := ts.Value(meshKey{}).(*mesh)
 	for _, name := range args {
-		former := m.get(ts, name)
-		<-former.ended
-		m.start(ts, name, former.arguments[0], former.arguments[1:]...)
+		old := m.get(ts, name)
+		<-old.ended
+		m.start(ts, name, old.arguments[0], old.arguments[1:]...)
 	}
 }
 
--- a/internal/proof/soak_test.go
+++ b/internal/proof/soak_test.go
@@ -31,16 +31,16 @@
 	// function reports whether the fault has ended, because a node that stops gracefully
 	// takes a while.
 	activeFault struct {
-		at  time.Time
-		end func() bool
+		dueAt time.Time
+		end   func() bool
 	}
 
 	// fault describes a kind of fault. The function begin starts the fault at a place and
 	// returns the function that ends it.
 	fault struct {
 		name       string
-		candidates func(s *faultInjector) []string
-		begin      func(s *faultInjector, place string) (end func() bool)
+		candidates func(f *faultInjector) []string
+		begin      func(f *faultInjector, place string) (end func() bool)
 	}
 )
 
@@ -59,12 +59,12 @@
 // faults lists all kinds of faults. Several may be active at once, and each may occur more
 // than once.
 var faults = []fault{
-	{"kill", nodePlaces, func(s *faultInjector, place string) func() bool { return s.replaceNode("KILL", place) }},
-	{"leave", nodePlaces, func(s *faultInjector, place string) func() bool { return s.replaceNode("TERM", place) }},
-	{"freeze", nodePlaces, func(s *faultInjector, place string) func() bool {
-		signalProcess(s.ts, false, []string{"STOP", place})
+	{"kill", nodePlaces, func(f *faultInjector, place string) func() bool { return f.replaceNode("KILL", place) }},
+	{"leave", nodePlaces, func(f *faultInjector, place string) func() bool { return f.replaceNode("TERM", place) }},
+	{"freeze", nodePlaces, func(f *faultInjector, place string) func() bool {
+		signalProcess(f.ts, false, []string{"STOP", place})
 		return func() bool {
-			signalProcess(s.ts, false, []string{"CONT", place})
+			signalProcess(f.ts, false, []string{"CONT", place})
 			return true
 		}
 	}},
@@ -77,17 +77,17 @@
 	{"platform loses answers", platformPlace, switchFault(`{"lose_answers": 0.5}`, `{}`)},
 }
 
-func nodePlaces(s *faultInjector) []string    { return s.nodes }
-func targetPlaces(s *faultInjector) []string  { return s.targets }
-func platformPlace(s *faultInjector) []string { return []string{s.platform} }
+func nodePlaces(f *faultInjector) []string    { return f.nodes }
+func targetPlaces(f *faultInjector) []string  { return f.targets }
+func platformPlace(f *faultInjector) []string { return []string{f.platform} }
 
 // switchFault returns the begin function of a fault that a test server simulates. The fault
 // begins by posting the switches on, and ends by posting off.
 func switchFault(on, off string) func(s *faultInjector, place string) func() bool {
-	return func(s *faultInjector, place string) func() bool {
-		faultSwitch(s.ts, false, []string{place, on})
+	return func(f *faultInjector, place string) func() bool {
+		faultSwitch(f.ts, false, []string{place, on})
 		return func() bool {
-			faultSwitch(s.ts, false, []string{place, off})
+			faultSwitch(f.ts, false, []string{place, off})
 			return true
 		}
 	}
@@ -95,12 +95,12 @@
 
 // replaceNode ends a node by a signal. The returned function starts the node again once it
 // has ended.
-func (s *faultInjector) replaceNode(signal, node string) func() bool {
-	signalProcess(s.ts, false, []string{signal, node})
+func (f *faultInjector) replaceNode(signal, node string) func() bool {
+	signalProcess(f.ts, false, []string{signal, node})
 	return func() bool {
 		select {
-		case <-s.mesh.get(s.ts, node).ended:
-			restart(s.ts, false, []string{node})
+		case <-f.mesh.get(f.ts, node).ended:
+			restart(f.ts, false, []string{node})
 			return true
 		default:
 			return false
@@ -108,7 +108,8 @@
 	}
 }
 
-// injectFaults SECONDS injects random faults for that time, and then ends all of them.
+// injectFaults SECONDS injects random faults for this many seconds, and then ends all of
+// them.
 func injectFaults(ts *testscript.TestScript, neg bool, args []string) {
 	seconds, err := strconv.Atoi(args[0])
 	ts.Check(err)
@@ -117,21 +118,21 @@
 		seed, err = strconv.ParseUint(text, 10, 64)
 		ts.Check(err)
 	}
-	s := newFaultInjector(ts, seed)
+	injector := newFaultInjector(ts, seed)
 	began := time.Now()
 	for end := began.Add(time.Duration(seconds) * time.Second); time.Now().Before(end); {
-		s.wait(s.between(minPause, maxPause))
-		s.injectRandom(began)
+		injector.wait(injector.between(minPause, maxPause))
+		injector.injectRandom(began)
 	}
 	waitUntil(ts, "the end of all faults", func() bool {
-		s.endDue(time.Now().Add(maxFaultDuration))
-		return len(s.active) == 0
+		injector.endDue(time.Now().Add(maxFaultDuration))
+		return len(injector.active) == 0
 	})
 }
 
 func newFaultInjector(ts *testscript.TestScript, seed uint64) *faultInjector {
 	m := ts.Value(meshKey{}).(*mesh)
-	s := &faultInjector{
+	injector := &faultInjector{
 		ts:       ts,
 		mesh:     m,
 		random:   rand.New(rand.NewPCG(seed, 0)),
@@ -141,45 +142,45 @@
 	ts.Logf("faults of seed %d", seed)
 	for name := range m.processes {
 		if strings.HasPrefix(name, "node-") || strings.HasPrefix(name, "naive-") {
-			s.nodes = append(s.nodes, name)
+			injector.nodes = append(injector.nodes, name)
 		}
 	}
-	slices.Sort(s.nodes)
+	slices.Sort(injector.nodes)
 	for _, file := range mustGlob(ts, filepath.Join(m.dir, "target-*.yaml")) {
-		s.targets = append(s.targets, setting(ts, file, "control_listen"))
+		injector.targets = append(injector.targets, setting(ts, file, "control_listen"))
 	}
-	return s
+	return injector
 }
 
 // injectRandom begins one random fault, unless another fault is active at its place.
-func (s *faultInjector) injectRandom(began time.Time) {
-	chosen := faults[s.random.IntN(len(faults))]
-	places := chosen.candidates(s)
-	place := places[s.random.IntN(len(places))]
-	length := s.between(minFaultDuration, maxFaultDuration)
-	if _, busy := s.active[place]; busy {
+func (f *faultInjector) injectRandom(began time.Time) {
+	chosen := faults[f.random.IntN(len(faults))]
+	places := chosen.candidates(f)
+	place := places[f.random.IntN(len(places))]
+	duration := f.between(minFaultDuration, maxFaultDuration)
+	if _, occupied := f.active[place]; occupied {
 		return
 	}
-	s.ts.Logf("%s: %s at %s for %s", time.Since(began).Round(time.Millisecond), chosen.name, place, length.Round(time.Millisecond))
-	s.active[place] = activeFault{at: time.Now().Add(length), end: chosen.begin(s, place)}
+	f.ts.Logf("%s: %s at %s for %s", time.Since(began).Round(time.Millisecond), chosen.name, place, duration.Round(time.Millisecond))
+	f.active[place] = activeFault{dueAt: time.Now().Add(duration), end: chosen.begin(f, place)}
 }
 
 // wait waits for the given time, and meanwhile ends the faults that are due.
-func (s *faultInjector) wait(length time.Duration) {
-	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(pollInterval) {
-		s.endDue(time.Now())
+func (f *faultInjector) wait(duration time.Duration) {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(pollInterval) {
+		f.endDue(time.Now())
 	}
 }
 
 // endDue ends the faults that are due by the given time.
-func (s *faultInjector) endDue(by time.Time) {
-	for place, running := range s.active {
-		if !running.at.After(by) && running.end() {
-			delete(s.active, place)
+func (f *faultInjector) endDue(by time.Time) {
+	for place, active := range f.active {
+		if !active.dueAt.After(by) && active.end() {
+			delete(f.active, place)
 		}
 	}
 }
 
-func (s *faultInjector) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(s.random.Float64()*float64(most-least))
+func (f *faultInjector) between(low, high time.Duration) time.Duration {
+	return low + time.Duration(f.random.Float64()*float64(high-low))
 }
--- a/internal/proof/steps_test.go
+++ b/internal/proof/steps_test.go
@@ -54,41 +54,43 @@
 	statusTimeout = 2 * time.Second
 )
 
-// copyDeclarations DIR OLD NEW copies the directory FIRM to DIR and replaces the only
-// occurrence of OLD in the declarations by NEW. In both texts, \n stands for a line break.
+// copyDeclarations DIR OLD NEW copies the directory $FIRM to DIR and replaces the only
+// occurrence of OLD in the declarations by NEW. In OLD and NEW, \n stands for a line
+// break.
 func copyDeclarations(ts *testscript.TestScript, neg bool, args []string) {
-	firm := ts.MkAbs(args[0])
-	ts.Check(os.CopyFS(firm, os.DirFS(ts.Getenv("FIRM"))))
-	path := filepath.Join(firm, "mesh", "mesh.yaml")
+	dir := ts.MkAbs(args[0])
+	ts.Check(os.CopyFS(dir, os.DirFS(ts.Getenv("FIRM"))))
+	path := filepath.Join(dir, "mesh", "mesh.yaml")
 	text := ts.ReadFile(path)
-	former, latter := strings.ReplaceAll(args[1], `\n`, "\n"), strings.ReplaceAll(args[2], `\n`, "\n")
-	if strings.Count(text, former) != 1 {
-		ts.Fatalf("%q does not occur exactly once in the declarations", former)
+	before, after := strings.ReplaceAll(args[1], `\n`, "\n"), strings.ReplaceAll(args[2], `\n`, "\n")
+	if strings.Count(text, before) != 1 {
+		ts.Fatalf("%q does not occur exactly once in the declarations", before)
 	}
-	ts.Check(os.WriteFile(path, []byte(strings.Replace(text, former, latter, 1)), 0o644))
+	ts.Check(os.WriteFile(path, []byte(strings.Replace(text, before, after, 1)), 0o644))
 }
 
-// applyConcurrently REVISION DIR NODE DIR NODE runs two apply commands at the same time that
-// both expect the revision. One must succeed. The other must end in a conflict whose message
-// names both revisions. It sets WINNER to the directory of the one that succeeded.
+// applyConcurrently REVISION DIR NODE DIR NODE runs two apply commands at the same time
+// that both expect the revision. One must succeed. The other must end in a conflict whose
+// message names the expected revision and the next one. It sets WINNER to the directory
+// of the command that succeeded.
 func applyConcurrently(ts *testscript.TestScript, neg bool, args []string) {
 	expected, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	var both [2]applyRun
+	var runs [2]applyRun
 	var ended sync.WaitGroup
-	for i := range both {
-		both[i].dir = ts.MkAbs(args[1+2*i])
+	for i := range runs {
+		runs[i].dir = ts.MkAbs(args[1+2*i])
 		command := exec.Command(filepath.Join(binaries(ts), "dandelionfield"), "apply", "--expected", args[0],
-			"-f", filepath.Join(both[i].dir, "mesh"), "--node", args[2+2*i])
+			"-f", filepath.Join(runs[i].dir, "mesh"), "--node", args[2+2*i])
 		command.Env = append(os.Environ(), "DANDELIONFIELD_TOKEN="+ts.Getenv("DANDELIONFIELD_TOKEN"))
 		ended.Go(func() {
 			printed, _ := command.CombinedOutput()
-			both[i].code, both[i].output = command.ProcessState.ExitCode(), string(printed)
+			runs[i].code, runs[i].output = command.ProcessState.ExitCode(), string(printed)
 		})
 	}
 	ended.Wait()
-	slices.SortFunc(both[:], func(a, b applyRun) int { return a.code - b.code })
-	won, lost := both[0], both[1]
+	slices.SortFunc(runs[:], func(a, b applyRun) int { return a.code - b.code })
+	won, lost := runs[0], runs[1]
 	if won.code != shell.ExitOK || lost.code != shell.ExitConflict {
 		ts.Fatalf("one apply must succeed and the other end in a conflict:\n%d %s\n%d %s", won.code, won.output, lost.code, lost.output)
 	}
@@ -231,9 +233,9 @@
 func findOwner(ts *testscript.TestScript, neg bool, args []string) {
 	waitUntil(ts, "owners of "+args[0], func() bool { return len(slotsByOwner(ts, args[0])) > 0 })
 	most := ""
-	held := slotsByOwner(ts, args[0])
-	for name, slots := range held {
-		if slots > held[most] {
+	counts := slotsByOwner(ts, args[0])
+	for name, slots := range counts {
+		if slots > counts[most] {
 			most = name
 		}
 	}
@@ -246,22 +248,22 @@
 	slots, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	waitUntil(ts, "evenly spread owners of "+args[0], func() bool {
-		held := slotsByOwner(ts, args[0])
-		for _, count := range held {
+		counts := slotsByOwner(ts, args[0])
+		for _, count := range counts {
 			if count != slots {
 				return false
 			}
 		}
-		return len(held) > 0
+		return len(counts) > 0
 	})
 }
 
 // requireOwner SERVICE NAME requires that the node owns keys of the service that are minted
 // now. With !, it requires that the node owns none.
 func requireOwner(ts *testscript.TestScript, neg bool, args []string) {
-	held := slotsByOwner(ts, args[0])
-	if (held[args[1]] > 0) == neg {
-		ts.Fatalf("slots of %s by owner: %v", args[0], held)
+	counts := slotsByOwner(ts, args[0])
+	if (counts[args[1]] > 0) == neg {
+		ts.Fatalf("slots of %s by owner: %v", args[0], counts)
 	}
 }
 
@@ -272,9 +274,9 @@
 	store := plat.NewClient(setting(ts, mustGlob(ts, filepath.Join(m.dir, "node-*.yaml"))[0], "platform_address"), plat.Limits{})
 	row, err := store.Get(context.Background(), "owners", service)
 	ts.Check(err)
-	held := map[string]int{}
+	counts := map[string]int{}
 	if row.Version == 0 {
-		return held
+		return counts
 	}
 	plan, err := once.DecodePlan(row.Value)
 	ts.Check(err)
@@ -282,11 +284,11 @@
 	for _, slot := range plan.Slots {
 		for _, holding := range slot.Holdings {
 			if holding.FromMS <= nowMS && nowMS < holding.UntilMS {
-				held["node-"+holding.Name]++
+				counts["node-"+holding.Name]++
 			}
 		}
 	}
-	return held
+	return counts
 }
 
 // requireShare FILE PHASE KIND OPERATOR NUMBER|KIND compares the share of good requests of a
@@ -320,14 +322,14 @@
 	ts.Check(json.Unmarshal([]byte(ts.ReadFile(args[0])), &report))
 	bound, err := strconv.ParseFloat(args[2], 64)
 	ts.Check(err)
-	seen := false
-	for _, line := range report.PhaseCounts {
-		seen = seen || line.Phase == args[1]
-		if line.Phase == args[1] && line.P99MS >= bound {
-			ts.Fatalf("99th percentile of %s is %v ms in %s, want less than %v ms", line.Kind, line.P99MS, line.Phase, bound)
+	found := false
+	for _, count := range report.PhaseCounts {
+		found = found || count.Phase == args[1]
+		if count.Phase == args[1] && count.P99MS >= bound {
+			ts.Fatalf("99th percentile of %s is %v ms in %s, want less than %v ms", count.Kind, count.P99MS, count.Phase, bound)
 		}
 	}
-	if !seen {
+	if !found {
 		ts.Fatalf("no phase %s", args[1])
 	}
 }
@@ -335,7 +337,7 @@
 func shareOf(ts *testscript.TestScript, file, phase, kind string) float64 {
 	var report bench.Report
 	ts.Check(json.Unmarshal([]byte(ts.ReadFile(file)), &report))
-	i := slices.IndexFunc(report.PhaseCounts, func(l bench.PhaseCount) bool { return l.Phase == phase && l.Kind == kind })
+	i := slices.IndexFunc(report.PhaseCounts, func(c bench.PhaseCount) bool { return c.Phase == phase && c.Kind == kind })
 	if i < 0 {
 		ts.Fatalf("no %s in %s", kind, phase)
 	}
