--- a/internal/bench/account.go
+++ b/internal/bench/account.go
@@ -148,7 +148,7 @@
 
 // Account computes the report of a run by comparing the outcomes that callers saw with
 // the executions that the targets recorded.
-func Account(config LoadConfig, mesh *schema.Set, outcomes []Outcome, done []Executions) Report {
+func Account(config LoadConfig, mesh *schema.Set, outcomes []Outcome, byTarget []Executions) Report {
 	report := Report{
 		Refusals:   map[string]int{},
 		Windows:    countWindows(config, mesh, outcomes),
@@ -167,7 +167,7 @@
 		}
 	}
 	report.PhaseCounts = countPhases(config.Phases, outcomes)
-	report.addExecutions(mesh, outcomes, done)
+	report.addExecutions(mesh, outcomes, byTarget)
 	if report.Offered > 0 {
 		report.AttemptsPerRequest = float64(attempts) / float64(report.Offered)
 	}
@@ -189,11 +189,11 @@
 	}
 	streak, first := 0, time.Duration(0)
 	for from := trigger.To; from <= last; from += recoveryInterval {
-		now, seen := shareGood(outcomes, from, from+recoveryInterval)
-		if !seen {
+		share, arrived := shareGood(outcomes, from, from+recoveryInterval)
+		if !arrived {
 			continue
 		}
-		if now < recoveryShare*before {
+		if share < recoveryShare*before {
 			streak = 0
 			continue
 		}
@@ -256,35 +256,35 @@
 // countPhases counts each kind in each phase, sorted by phase and then by kind.
 func countPhases(phases []Phase, outcomes []Outcome) []PhaseCount {
 	type cell struct{ phase, kind string }
-	found := map[cell]*PhaseCount{}
+	counts := map[cell]*PhaseCount{}
 	latency := map[cell]*hdrhistogram.Histogram{}
 	for _, outcome := range outcomes {
-		at := cell{outcome.Phase, outcome.Kind}
-		line := found[at]
-		if line == nil {
-			line = &PhaseCount{Phase: outcome.Phase, Kind: outcome.Kind}
-			found[at] = line
-			latency[at] = hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
+		key := cell{outcome.Phase, outcome.Kind}
+		count := counts[key]
+		if count == nil {
+			count = &PhaseCount{Phase: outcome.Phase, Kind: outcome.Kind}
+			counts[key] = count
+			latency[key] = hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
 		}
-		line.Offered++
+		count.Offered++
 		if outcome.Good {
-			line.Good++
-			_ = latency[at].RecordValue(outcome.Took.Microseconds())
+			count.Good++
+			_ = latency[key].RecordValue(outcome.Took.Microseconds())
 		}
 	}
-	list := make([]PhaseCount, 0, len(found))
-	for at, line := range found {
-		index := slices.IndexFunc(phases, func(p Phase) bool { return p.Name == line.Phase })
+	list := make([]PhaseCount, 0, len(counts))
+	for key, count := range counts {
+		index := slices.IndexFunc(phases, func(p Phase) bool { return p.Name == count.Phase })
 		if index >= 0 {
-			line.GoodPerSecond = float64(line.Good) / phases[index].Duration.Seconds()
+			count.GoodPerSecond = float64(count.Good) / phases[index].Duration.Seconds()
 		}
-		line.Share = float64(line.Good) / float64(line.Offered)
-		line.P50MS = milliseconds(latency[at].ValueAtQuantile(50))
-		line.P99MS = milliseconds(latency[at].ValueAtQuantile(99))
-		list = append(list, *line)
+		count.Share = float64(count.Good) / float64(count.Offered)
+		count.P50MS = milliseconds(latency[key].ValueAtQuantile(50))
+		count.P99MS = milliseconds(latency[key].ValueAtQuantile(99))
+		list = append(list, *count)
 	}
-	phaseIndex := func(l PhaseCount) int {
-		return slices.IndexFunc(phases, func(p Phase) bool { return p.Name == l.Phase })
+	phaseIndex := func(c PhaseCount) int {
+		return slices.IndexFunc(phases, func(p Phase) bool { return p.Name == c.Phase })
 	}
 	slices.SortFunc(list, func(a, b PhaseCount) int {
 		if phaseIndex(a) != phaseIndex(b) {
--- a/internal/bench/account_test.go
+++ b/internal/bench/account_test.go
@@ -93,7 +93,8 @@
 }
 
 // flow adds 100 look-ups for each half second from FROM on, from rows of the form "FROM
-// GOOD GOOD ...". GOOD is the number of good ones in one half second.
+// GOOD GOOD ...". Each GOOD is the number of look-ups with a good answer in one half
+// second.
 func (s *accountScript) flow(is *is.I, rows []string) {
 	const each = 100
 	for _, row := range rows {
--- a/internal/bench/added_test.go
+++ b/internal/bench/added_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func TestAddedIsTheDifferenceInEachPair(t *testing.T) {
+func TestAddedLatencyIsPairedDifference(t *testing.T) {
 	is := is.New(t)
 	pairs := make([]latencyPair, 0, 101)
 	// The direct time varies between 10 and 109 ms; the mesh always adds 2 ms.
@@ -27,7 +27,7 @@
 	is.Equal(report.DirectP99MS, 108.0)
 }
 
-func TestAddedTakesTurns(t *testing.T) {
+func TestAddedLatencyAlternatesOrder(t *testing.T) {
 	is := is.New(t)
 	var order []string
 	serve := func(name string) *httptest.Server {
@@ -59,7 +59,7 @@
 	is.True(err != nil) // an incomplete run gave a report
 }
 
-func TestProcessorTime(t *testing.T) {
+func TestParseStat(t *testing.T) {
 	is := is.New(t)
 	line := "42 (a (b) c) S 1 1 1 0 -1 4194304 100 0 0 0 150 50 0 0 20 0 5 0 100 1000 10"
 	is.Equal(parseStat(line), 2*time.Second)
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestPictureNamesItsCurves draws a chart and looks for the names of the axes and meshes in
+// TestPictureLabels draws a chart and looks for the names of the axes and meshes in
 // the text of the picture.
-func TestPictureNamesItsCurves(t *testing.T) {
+func TestPictureLabels(t *testing.T) {
 	is := is.New(t)
 	runs := readTestRuns([]string{
 		"firm/slow/naive/3-1.json",
@@ -102,7 +102,7 @@
 	is.True(charts[0].Save(filepath.Join(t.TempDir(), "slow.unknown")) != nil)
 }
 
-func TestNodeUseIsTheMeanAndTheLargest(t *testing.T) {
+func TestNodeUsageMeanAndMax(t *testing.T) {
 	is := is.New(t)
 	const second = 1_000_000_000
 	before := []processUsage{{processor: second, peak: 10_000_000}, {processor: 2 * second, peak: 30_000_000}}
@@ -114,7 +114,7 @@
 	is.Equal(newNodeUsage(nil, nil, 10*second), nil)
 }
 
-func TestUsageOfAProcess(t *testing.T) {
+func TestReadProcessUsage(t *testing.T) {
 	is := is.New(t)
 	list, err := readUsage([]int{os.Getpid()})
 	is.NoErr(err)
--- a/internal/bench/deadline.go
+++ b/internal/bench/deadline.go
@@ -9,7 +9,7 @@
 
 // workContext returns the context in which a target processes a call. It ends at the
 // call's deadline or when the caller disconnects. With NoShed it ends at neither, as in
-// an old server that reads a call and queues it.
+// a server without load shedding, which queues every call that it has read.
 func (f Faults) workContext(r *http.Request) (context.Context, context.CancelFunc) {
 	if f.NoShed {
 		return context.WithCancel(context.WithoutCancel(r.Context()))
--- a/internal/bench/expect.go
+++ b/internal/bench/expect.go
@@ -36,8 +36,8 @@
 	check(r.DoubleRuns > 0, "double executions: %d", r.DoubleRuns)
 	check(r.FalseNotRun > 0, "false not run: %d", r.FalseNotRun)
 	check(len(r.Unreachable) > 0, "targets that were not asked what they ran: %d", len(r.Unreachable))
-	late := r.RecoveryS == NotRecovered || r.RecoveryS > e.Recovery.Seconds()
-	check(e.Recovery > 0 && late, "recovery: %s, at most %s is stated", r.formatRecovery(), e.Recovery)
+	tooSlow := r.RecoveryS == NotRecovered || r.RecoveryS > e.Recovery.Seconds()
+	check(e.Recovery > 0 && tooSlow, "recovery: %s, at most %s is stated", r.formatRecovery(), e.Recovery)
 	during := r.window("during")
 	critical := during.criticalGoodShare()
 	check(e.CriticalShare > 0 && critical < e.CriticalShare,
--- a/internal/bench/layout_test.go
+++ b/internal/bench/layout_test.go
@@ -9,10 +9,10 @@
 	"github.com/dandelionfield/dandelionfield/internal/setup"
 )
 
-// TestLayoutOfExamples checks that a node accepts the settings written for it, that no
+// TestLayoutExamples checks that a node accepts the settings written for it, that no
 // two processes of the two firms share an address, that adjacent entries are in different
 // data centres, and that the mix has only declared kinds.
-func TestLayoutOfExamples(t *testing.T) {
+func TestLayoutExamples(t *testing.T) {
 	is := is.New(t)
 	taken := map[string]string{}
 	control := map[string]string{}
--- a/internal/bench/wires.go
+++ b/internal/bench/layout_wires.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// platformWireName is the format of the name of the wire between a region and the
+// platformWireNameFormat is the format of the name of the wire between a region and the
 // platform.
-const platformWireName = "platform-%s"
+const platformWireNameFormat = "platform-%s"
 
 // region returns the region of a host.
 func (l *Layout) region(host Host) string {
@@ -69,7 +69,7 @@
 	ip := fmt.Sprintf("%s.%d", l.Network, platformHostNumber)
 	port := platformWirePort + 2*slices.Index(l.regions(), region)
 	return WireConfig{
-		Name:          fmt.Sprintf(platformWireName, region),
+		Name:          fmt.Sprintf(platformWireNameFormat, region),
 		Listen:        l.address(ip, port),
 		To:            l.PlatformAddress(),
 		ControlListen: l.address(ip, port+1),
--- a/internal/bench/load_test.go
+++ b/internal/bench/load_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func refuseWith(code, name string, status int) func(http.ResponseWriter, string) {
+func rejectWith(code, name string, status int) func(http.ResponseWriter, string) {
 	return func(w http.ResponseWriter, _ string) {
 		w.Header().Set(codeHeader, code)
 		w.Header().Set(resultHeader, name)
@@ -63,9 +63,9 @@
 	return load
 }
 
-func TestCallerRepeatsElsewhereWithItsKey(t *testing.T) {
+func TestCallerRetriesOtherEntryWithSameKey(t *testing.T) {
 	is := is.New(t)
-	first := newFakeNode(t, refuseWith("200", "overloaded", 503))
+	first := newFakeNode(t, rejectWith("200", "overloaded", 503))
 	second := newFakeNode(t, answerWith("order"))
 	load := testLoad(t, &instantClock{}, first, second)
 	load.Config.Callers.Backoff = 200 * time.Millisecond
@@ -80,7 +80,7 @@
 	is.Equal(second.fresh[0], "") // the key was marked as fresh though it had been sent
 }
 
-func TestCallerMintsANewKeyOnlyWhenTheOldCannotRun(t *testing.T) {
+func TestCallerReplacesOnlyUnusableKeys(t *testing.T) {
 	for _, test := range []struct {
 		code, name string
 		status     int
@@ -95,7 +95,7 @@
 		{"308", "forgotten", 409, false},
 	} {
 		is := is.New(t)
-		first := newFakeNode(t, refuseWith(test.code, test.name, test.status))
+		first := newFakeNode(t, rejectWith(test.code, test.name, test.status))
 		second := newFakeNode(t, answerWith("order"))
 		load := testLoad(t, &instantClock{}, first, second)
 		is.True(load.runRequest(testContext(t), Arrival{ID: "1-1", Kind: "order"}).Good)
@@ -105,9 +105,9 @@
 	is.New(t).True(!needsNewKey(Attempt{Code: 305}, 1)) // an earlier attempt may have run at the lost owner
 }
 
-func TestCallerSeesTornAndForeignAnswers(t *testing.T) {
+func TestCallerDetectsTornAndForeignAnswers(t *testing.T) {
 	is := is.New(t)
-	half := newFakeNode(t, func(w http.ResponseWriter, attempt string) {
+	truncated := newFakeNode(t, func(w http.ResponseWriter, attempt string) {
 		body, err := json.Marshal(NewAnswer(attempt, "look", "t", 100))
 		is.NoErr(err)
 		w.Header().Set("Content-Length", "200")
@@ -115,7 +115,7 @@
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	})
-	changed := newFakeNode(t, func(w http.ResponseWriter, attempt string) {
+	corrupted := newFakeNode(t, func(w http.ResponseWriter, attempt string) {
 		answer := NewAnswer(attempt, "look", "t", 100)
 		answer.Payload = strings.Replace(answer.Payload, "look", "lock", 1)
 		writeJSON(w, answer, nil)
@@ -123,7 +123,7 @@
 	foreign := newFakeNode(t, func(w http.ResponseWriter, _ string) {
 		writeJSON(w, NewAnswer("1-2.1", "look", "t", 100), nil)
 	})
-	load := testLoad(t, &instantClock{}, half, changed, foreign)
+	load := testLoad(t, &instantClock{}, truncated, corrupted, foreign)
 	outcome := load.runRequest(testContext(t), Arrival{ID: "1-1", Kind: "look"})
 	is.True(!outcome.Good)
 	is.True(outcome.Attempts[0].Torn)
@@ -131,11 +131,11 @@
 	is.True(outcome.Attempts[2].Foreign)
 }
 
-// TestArrivalsDoNotWait guards against closed-loop load, in which a request waits for the
+// TestLoadIsOpenLoop guards against closed-loop load, in which a request waits for the
 // answer to an earlier one. Every answer is held back until the last request has arrived,
-// so that a closed loop would never end. The test also checks that faults are set and that
-// an unreachable target is reported.
-func TestArrivalsDoNotWait(t *testing.T) {
+// so that a closed loop would never end. The test also checks that faults are set and
+// that an unreachable target is reported.
+func TestLoadIsOpenLoop(t *testing.T) {
 	is := is.New(t)
 	const requests = 50
 	var arrived sync.WaitGroup
@@ -196,7 +196,7 @@
 	return c.instantClock.After(d + 30*time.Millisecond)
 }
 
-func TestReportTellsHowLateTheLoadWas(t *testing.T) {
+func TestReportLateP99(t *testing.T) {
 	is := is.New(t)
 	entry := newFakeNode(t, answerWith("look"))
 	load := testLoad(t, &lateClock{}, entry)
@@ -208,7 +208,7 @@
 	is.Equal(report.LateP99MS, 30.0)
 }
 
-func TestStoppedLoadLeavesNoReport(t *testing.T) {
+func TestStoppedLoadFails(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "load.yaml")
 	config := LoadConfig{
--- a/internal/bench/naive_test.go
+++ b/internal/bench/naive_test.go
@@ -10,10 +10,10 @@
 	"github.com/matryer/is"
 )
 
-// TestNaiveMultiplies shows the retry amplification that makes the naive relay the
-// baseline: while a service at the end of the chain sheds, one order reaches it once for
-// every combination of attempts along the chain.
-func TestNaiveMultiplies(t *testing.T) {
+// TestNaiveRelayMultipliesRetries shows the retry amplification that makes the naive
+// relay the baseline: while a service at the end of the chain sheds, one order reaches it
+// once for every combination of attempts along the chain.
+func TestNaiveRelayMultipliesRetries(t *testing.T) {
 	is := is.New(t)
 	mesh := testMesh()
 	var atLines, atStock atomic.Int64
@@ -51,7 +51,7 @@
 	is.Equal(atLines.Load(), int64(attempts*attempts))
 }
 
-func TestNaiveTakesTurns(t *testing.T) {
+func TestNaiveRelayRoundRobin(t *testing.T) {
 	is := is.New(t)
 	var calls [3]atomic.Int64
 	addresses := make([]string, 0, len(calls))
--- a/internal/bench/picture.go
+++ b/internal/bench/picture.go
@@ -156,12 +156,12 @@
 		return nil
 	}
 	count := len(curve.Points)
-	edge := make(plotter.XYs, 2*count)
+	outline := make(plotter.XYs, 2*count)
 	for i, point := range curve.Points {
-		edge[i] = plotter.XY{X: point.AtS, Y: point.Low}
-		edge[2*count-1-i] = plotter.XY{X: point.AtS, Y: point.High}
+		outline[i] = plotter.XY{X: point.AtS, Y: point.Low}
+		outline[2*count-1-i] = plotter.XY{X: point.AtS, Y: point.High}
 	}
-	band, err := plotter.NewPolygon(edge)
+	band, err := plotter.NewPolygon(outline)
 	if err != nil {
 		return badFileError.Wrap(err, "%s", curve.Name)
 	}
--- a/internal/bench/platform_test.go
+++ b/internal/bench/platform_test.go
@@ -14,16 +14,16 @@
 	"github.com/dandelionfield/dandelionfield/internal/plat"
 )
 
-// TestClientAgainstPlatform checks that the same operations have the same results over
-// HTTP and in memory.
-func TestClientAgainstPlatform(t *testing.T) {
+// TestPlatformClientMatchesMemory checks that the same operations have the same results
+// over HTTP and in memory.
+func TestPlatformClientMatchesMemory(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	memory := plat.NewMemory()
 	server := httptest.NewServer(bench.NewPlatform(memory))
 	defer server.Close()
-	limits := plat.Limits{ReadsPerSecond: 1000, WritesPerSecond: 1000}
-	store := plat.NewClient(server.URL, limits)
+	rateLimits := plat.Limits{ReadsPerSecond: 1000, WritesPerSecond: 1000}
+	store := plat.NewClient(server.URL, rateLimits)
 
 	write := plat.Write{Table: "t", ID: "w1", Changes: []plat.Change{{Key: "a/b c", Value: []byte{0, 1}}}}
 	version, err := store.Commit(ctx, write)
--- a/internal/bench/print.go
+++ b/internal/bench/print.go
@@ -13,9 +13,9 @@
 func (r Report) Print(w io.Writer) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "phase\tkind\toffered\tgood\tshare\tgood/s\tp50 ms\tp99 ms\t")
-	for _, line := range r.PhaseCounts {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%.1f%%\t%.1f\t%.0f\t%.0f\t\n", line.Phase, line.Kind,
-			line.Offered, line.Good, 100*line.Share, line.GoodPerSecond, line.P50MS, line.P99MS)
+	for _, count := range r.PhaseCounts {
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%.1f%%\t%.1f\t%.0f\t%.0f\t\n", count.Phase, count.Kind,
+			count.Offered, count.Good, 100*count.Share, count.GoodPerSecond, count.P50MS, count.P99MS)
 	}
 	_ = table.Flush()
 	r.printWindows(w)
--- a/internal/bench/runs.go
+++ b/internal/bench/runs.go
@@ -61,9 +61,9 @@
 
 // runLabel returns the directories between root and the file.
 func runLabel(root, path string) []string {
-	inside, err := filepath.Rel(root, filepath.Dir(path))
+	relative, err := filepath.Rel(root, filepath.Dir(path))
 	if err != nil {
-		inside = filepath.Dir(path)
+		relative = filepath.Dir(path)
 	}
-	return strings.Split(filepath.ToSlash(inside), "/")
+	return strings.Split(filepath.ToSlash(relative), "/")
 }
--- a/internal/bench/table_test.go
+++ b/internal/bench/table_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// TestCriticalOfPossible offers 60 critical requests to a service that can process half
+// TestCriticalGoodShare offers 60 critical requests to a service that can process half
 // of them.
-func TestCriticalOfPossible(t *testing.T) {
+func TestCriticalGoodShare(t *testing.T) {
 	is := is.New(t)
 	window := Window{
 		CriticalOffered: 60,
@@ -22,7 +22,7 @@
 	is.Equal(window.criticalGoodShare(), 0.45) // not all offered requests counted as possible
 }
 
-func TestTableShowsTheSpread(t *testing.T) {
+func TestLoadTableShowsSpread(t *testing.T) {
 	is := is.New(t)
 	after := []Window{{Name: "after", Seconds: 8}}
 	run := func(label string, report Report) Run[Report] {
--- a/internal/bench/target.go
+++ b/internal/bench/target.go
@@ -196,8 +196,8 @@
 // The target sheds if nothing is committed and the failed call had no effect, which
 // holds for a look-up (GET) and for a call that was itself rejected (503).
 func (t *Target) failedCallStatus(call Call, committed bool, status int) int {
-	harmless := call.Method == http.MethodGet || status == http.StatusServiceUnavailable
-	if !committed && harmless {
+	noEffect := call.Method == http.MethodGet || status == http.StatusServiceUnavailable
+	if !committed && noEffect {
 		t.updateStats(func(s *Stats) { s.Shed++ })
 		return t.config.ShedStatus
 	}
@@ -215,8 +215,8 @@
 		return 0
 	}
 	request.Header.Set(RequestHeader, attempt)
-	if handle := r.Header.Get(contextHeader); handle != "" {
-		request.Header.Set(contextHeader, handle)
+	if callContext := r.Header.Get(contextHeader); callContext != "" {
+		request.Header.Set(contextHeader, callContext)
 	}
 	answer, err := t.client.Do(request)
 	if err != nil {
@@ -349,10 +349,10 @@
 // does not notice when the caller disconnects.
 func (t *Target) waitWhileFrozen() {
 	t.mu.Lock()
-	thaw := t.unfreeze
+	unfrozen := t.unfreeze
 	t.mu.Unlock()
-	if thaw != nil {
-		<-thaw
+	if unfrozen != nil {
+		<-unfrozen
 	}
 }
 
--- a/internal/bench/target_test.go
+++ b/internal/bench/target_test.go
@@ -90,12 +90,12 @@
 		call := s.open[args[0]]
 		s.clock.advance(call.work.d)
 		call.work.done <- s.clock.Now()
-		return s.end(call)
+		return s.awaitAnswer(call)
 	case "await":
-		return s.settle(s.open[args[0]])
+		return s.awaitState(s.open[args[0]])
 	case "cancel":
 		s.open[args[0]].cancel()
-		return s.end(s.open[args[0]])
+		return s.awaitAnswer(s.open[args[0]])
 	case "leave":
 		s.open[args[0]].cancel()
 	case "advance":
@@ -115,11 +115,11 @@
 		s.requests = nil
 		return text
 	case "faults":
-		return s.plain(http.MethodPost, "/-/faults", d.Input)
+		return s.control(http.MethodPost, "/-/faults", d.Input)
 	case "health":
-		return s.plain(http.MethodGet, "/-/healthz", "")
+		return s.control(http.MethodGet, "/-/healthz", "")
 	case "stats":
-		return s.plain(http.MethodGet, "/-/stats", "")
+		return s.control(http.MethodGet, "/-/stats", "")
 	case "executions":
 		return s.executions(t)
 	default:
@@ -145,15 +145,15 @@
 				call.result <- fmt.Sprintf("cut after %d bytes", call.recorder.Body.Len())
 				return
 			}
-			call.result <- describe(call.recorder)
+			call.result <- describeAnswer(call.recorder)
 		}()
 		s.handler.ServeHTTP(call.recorder, r)
 	}()
-	return s.settle(call)
+	return s.awaitState(call)
 }
 
-// settle waits until a call is answered, works, or waits in the queue.
-func (s *targetScript) settle(call *openCall) string {
+// awaitState waits until a call is answered, works, or waits in the queue.
+func (s *targetScript) awaitState(call *openCall) string {
 	for {
 		select {
 		case result := <-call.result:
@@ -172,9 +172,9 @@
 	}
 }
 
-// end waits for the answer. If another call starts its work meanwhile, its wait remains
-// for the await command.
-func (s *targetScript) end(call *openCall) string {
+// awaitAnswer waits for the answer. If another call starts its work meanwhile, its wait
+// remains for the await command.
+func (s *targetScript) awaitAnswer(call *openCall) string {
 	result := <-call.result
 	s.queued = s.waiting()
 	return result
@@ -186,7 +186,7 @@
 	return s.target.waiting
 }
 
-func (s *targetScript) plain(method, path, body string) string {
+func (s *targetScript) control(method, path, body string) string {
 	recorder := httptest.NewRecorder()
 	s.handler.ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
 	return strings.TrimSpace(fmt.Sprintf("%d %s", recorder.Code, recorder.Body.String()))
@@ -194,7 +194,7 @@
 
 func (s *targetScript) executions(t *testing.T) string {
 	var done Executions
-	_, body, _ := strings.Cut(s.plain(http.MethodGet, "/-/executions", ""), " ")
+	_, body, _ := strings.Cut(s.control(http.MethodGet, "/-/executions", ""), " ")
 	is.New(t).NoErr(json.Unmarshal([]byte(body), &done))
 	var lines []string
 	for _, by := range []map[string][]Execution{done.ByRequest, done.ByKey} {
@@ -215,8 +215,9 @@
 	}
 }
 
-// describe returns the status of an answer and, for a success, the contents of its body.
-func describe(recorder *httptest.ResponseRecorder) string {
+// describeAnswer returns the status of an answer and, for a success, the contents of its
+// body.
+func describeAnswer(recorder *httptest.ResponseRecorder) string {
 	if recorder.Code != http.StatusOK {
 		return strconv.Itoa(recorder.Code)
 	}
--- a/internal/bench/trace_test.go
+++ b/internal/bench/trace_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestTrace(t *testing.T) {
+func TestNewTrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := LoadConfig{
 			Seed:    rapid.Uint64().Draw(t, "seed"),
@@ -52,14 +52,14 @@
 	})
 }
 
-func TestTraceKept(t *testing.T) {
+func TestTraceFileRoundTrip(t *testing.T) {
 	is := is.New(t)
 	config := LoadConfig{Seed: 3, Mix: map[string]float64{"a": 1, "b": 2},
 		Phases: []Phase{{Name: "calm", Duration: time.Second, Rate: 100}}}
 	arrivals := NewTrace(config)
 	path := filepath.Join(t.TempDir(), "trace.json")
 	is.NoErr(WriteTrace(path, arrivals))
-	read, err := ReadTrace(path)
+	reread, err := ReadTrace(path)
 	is.NoErr(err)
-	is.Equal(read, arrivals)
+	is.Equal(reread, arrivals)
 }
--- a/internal/bench/wire.go
+++ b/internal/bench/wire.go
@@ -230,8 +230,8 @@
 	reset(c.far)
 }
 
-// copyThroughGate copies one direction. The gate holds back the end of the source as it
-// does its bytes.
+// copyThroughGate copies one direction. The gate holds back the end of the source's
+// stream as well as its bytes.
 func copyThroughGate(g *gate, source, sink net.Conn) {
 	defer func() { _ = sink.Close() }()
 	chunk := make([]byte, wireChunkBytes)
--- a/internal/bench/work.go
+++ b/internal/bench/work.go
@@ -17,7 +17,7 @@
 // the work of a kind that may never be repeated started more than once over all its
 // attempts. An attempt counts as a false "not run" when its answer said so and any target
 // had started work for it.
-func (r *Report) addExecutions(mesh *schema.Set, outcomes []Outcome, done []Executions) {
+func (r *Report) addExecutions(mesh *schema.Set, outcomes []Outcome, byTarget []Executions) {
 	requests := make(map[string]*requestWork, len(outcomes))
 	toldNotRun := map[string]bool{}
 	for _, outcome := range outcomes {
@@ -29,7 +29,7 @@
 		}
 	}
 	falseNotRun := map[string]bool{}
-	for _, target := range done {
+	for _, target := range byTarget {
 		for attempt, executions := range target.ByRequest {
 			request := requests[requestID(attempt)]
 			if request == nil {
