--- a/internal/bench/platform_test.go
+++ b/internal/bench/platform_test.go
@@ -28,17 +28,17 @@
 	write := plat.Write{Table: "t", ID: "w1", Changes: []plat.Change{{Key: "a/b c", Value: []byte{0, 1}}}}
 	version, err := store.Commit(ctx, write)
 	is.NoErr(err)
-	for _, backend := range []plat.Store{store, memory.Store()} {
-		row, err := backend.Get(ctx, "t", "a/b c")
+	for _, candidate := range []plat.Store{store, memory.Store()} {
+		row, err := candidate.Get(ctx, "t", "a/b c")
 		is.NoErr(err)
 		is.Equal(row, plat.Row{Key: "a/b c", Value: []byte{0, 1}, Version: version, WriteID: "w1"})
-		rows, upTo, err := backend.List(ctx, "t", 0)
+		rows, upTo, err := candidate.List(ctx, "t", 0)
 		is.NoErr(err)
 		is.Equal(rows, []plat.Row{row})
 		is.Equal(upTo, version)
-		_, err = backend.GetObject(ctx, "absent")
+		_, err = candidate.GetObject(ctx, "absent")
 		is.True(errorx.IsOfType(err, plat.NotFound))
-		_, err = backend.Commit(ctx, plat.Write{Table: "t", ID: "w2", Changes: write.Changes})
+		_, err = candidate.Commit(ctx, plat.Write{Table: "t", ID: "w2", Changes: write.Changes})
 		is.True(errorx.IsOfType(err, plat.Conflict))
 	}
 	is.NoErr(store.PutObject(ctx, "o", []byte("data")))
@@ -47,13 +47,13 @@
 	is.Equal(string(data), "data")
 	is.NoErr(store.PutObject(ctx, "p/2", []byte("two")))
 	is.NoErr(store.PutObject(ctx, "p/1", []byte("one")))
-	for _, backend := range []plat.Store{store, memory.Store()} {
-		names, err := backend.ListObjects(ctx, "p/", 1)
+	for _, candidate := range []plat.Store{store, memory.Store()} {
+		names, err := candidate.ListObjects(ctx, "p/", 1)
 		is.NoErr(err)
 		is.Equal(names, []string{"p/1"}) // not the first name, or more names than the limit
-		is.NoErr(backend.DeleteObject(ctx, "o"))
-		is.NoErr(backend.DeleteObject(ctx, "o")) // deleting an absent object failed
-		_, err = backend.GetObject(ctx, "o")
+		is.NoErr(candidate.DeleteObject(ctx, "o"))
+		is.NoErr(candidate.DeleteObject(ctx, "o")) // deleting an absent object failed
+		_, err = candidate.GetObject(ctx, "o")
 		is.True(errorx.IsOfType(err, plat.NotFound))
 	}
 
